--- a/src/cli/router.cpp
+++ b/src/cli/router.cpp
@@ -20,6 +20,13 @@
 namespace {
 
 constexpr Millis kTick{200};
+// After this time from the signal the platform sends no new connections: it asks for readiness each second and takes
+// two misses.
+constexpr Millis kDelisted{3000};
+constexpr Millis kKillMargin{400};  // the process ends by itself so long before the platform kills it
+
+// How long the process runs on after it was told to stop.
+Millis graceOf(const settings::Settings& s) { return s.gracePeriodS - kKillMargin; }
 
 routing::Bounds boundsOf(const settings::Settings& s) {
   return {s.retryBudgetRatio,
@@ -167,7 +174,7 @@
     leaving_ = true;
     leftAt_ = base::Clock::now();
     isReady_ = false;
-    executor_.leave();
+    executor_.leave(leftAt_ + graceOf(watch_.now()));
     feed::FollowerEffects effects;
     core_.leave(effects);
     apply(effects);
@@ -177,9 +184,9 @@
     if (!leaving_) return false;
     const auto since = now - leftAt_;
     const auto& s = watch_.now();
-    // The platform asks for readiness each second and takes two misses; then what has come must end.
-    const bool quiet = since > Millis(3000) && executor_.counters().active == 0;
-    if (!quiet && since < s.gracePeriodS - Millis(400)) return false;
+    if (since > kDelisted) executor_.closeIdle();
+    const bool quiet = since > kDelisted && executor_.counters().active == 0;
+    if (!quiet && since < graceOf(s)) return false;
     io_.stop();
     return true;
   }
--- a/src/proxy/client_session.cpp
+++ b/src/proxy/client_session.cpp
@@ -103,7 +103,10 @@
     const auto limits = picture->configuration ? picture->configuration->limits : control::Limits{};
     if (buffer.size() == 0) {
       client.expires_after(limits.idleTimeout);
+      const IdleConnections::Scope idle(idle_, client);
       auto [error, bytes] = co_await client.async_read_some(buffer.prepare(8192), http::kTuple);
+      // Closed at once: a request that crosses the close is never read, so its client may send it again.
+      if (error == asio::error::operation_aborted && leaving_) co_return;
       if (error) break;
       buffer.commit(bytes);
     }
--- a/src/proxy/exchange.hpp
+++ b/src/proxy/exchange.hpp
@@ -21,7 +21,7 @@
   base::TimePoint deadline;
   bool stream = false;   // answered as events come
   bool started = false;  // the client has bytes of the answer
-  bool keep = true;      // the client's connection can be used further
+  bool keep = true;      // the client was told that its connection can be used further
   EventCutter events;
   std::string resumeFrom;                   // Last-Event-Id for the next runner
   base::TimePoint firstAt{};                // when the first event left
--- a/src/proxy/executor.cpp
+++ b/src/proxy/executor.cpp
@@ -18,6 +18,8 @@
 namespace {
 
 constexpr Millis kFirstNews{600};  // how long a request waits for the first configuration and runners of a process
+// Another router serves what this one has no time for, so the client may come back at once.
+constexpr double kShutdownRetryAfterS = 0.05;
 
 }  // namespace
 
@@ -56,6 +58,10 @@
 
   // The client's time, capped by what the operator wants a request held.
   exchange.deadline = arrivedAt + std::min(route->timeout, told);
+  if (mayBeCutOff(exchange.deadline)) {
+    ++counters_.rejected;
+    co_return co_await reply(exchange, 503, "shutting down", kShutdownRetryAfterS);
+  }
   exchange.stream =
       route->type == control::RouteType::Streaming && request.version() >= 11 && request.method() != wire::verb::head;
   exchange.resumeFrom = std::string(request[kLastEventId]);
@@ -95,7 +101,7 @@
     if (outcome.end == CallOutcome::End::Answered) {
       ++counters_.passed;
       record(exchange, arrivedAt, 200, policy.asked().tries);
-      co_return exchange.keep&& keepAlive(request);
+      co_return exchange.keep;
     }
     if (outcome.end == CallOutcome::End::ClientGone) co_return false;
     const auto after = base::Clock::now();
--- a/src/proxy/executor.hpp
+++ b/src/proxy/executor.hpp
@@ -6,6 +6,7 @@
 #include "base/log.hpp"
 #include "http/types.hpp"
 #include "proxy/headers.hpp"
+#include "proxy/idle_connections.hpp"
 #include "proxy/pool.hpp"
 #include "proxy/prompt.hpp"
 #include "proxy/request_queue.hpp"
@@ -34,8 +35,14 @@
   http::asio::awaitable<void> accept(http::tcp::acceptor& acceptor);
   // Where a line about each request goes; nowhere at first.
   void setTrafficLog(std::shared_ptr<spdlog::logger> log) { trafficLog_ = std::move(log); }
-  // From now on every answer says that the connection closes.
-  void leave() { leaving_ = true; }
+  // Begins the graceful shutdown: from now on every answer says that the connection closes, and a request that may
+  // take longer than until `endsAt`, when the process ends, is rejected before it runs. Thread-safe.
+  void leave(base::TimePoint endsAt) {
+    endsAt_ = endsAt;
+    leaving_ = true;
+  }
+  // Closes the connections that wait for a next request; for when no new ones come any more. Thread-safe.
+  void closeIdle() { idle_.cancelAll(); }
   const Counters& counters() const { return counters_; }
   Pool& pool() { return pool_; }
   RequestQueue& queue() { return queue_; }
@@ -55,6 +62,8 @@
   http::asio::awaitable<bool> reply(Exchange& exchange, int status, std::string body, double retryAfterS = 0);
   void record(const Exchange& exchange, base::TimePoint arrivedAt, int status, std::uint32_t tries) const;
   bool keepAlive(const http::Request& request) const { return request.keep_alive() && !leaving_; }
+  // Whether a request with this deadline might still be under way when the process ends.
+  bool mayBeCutOff(base::TimePoint deadline) const { return leaving_ && deadline > endsAt_.load(); }
 
   http::asio::any_io_executor executor_;
   routing::Table& table_;
@@ -62,7 +71,9 @@
   RequestQueue queue_;
   Counters counters_;
   std::shared_ptr<spdlog::logger> trafficLog_;
+  IdleConnections idle_;
   std::atomic<bool> leaving_{false};
+  std::atomic<base::TimePoint> endsAt_{base::TimePoint::max()};
 };
 
 }  // namespace indigohill::proxy
--- a/src/proxy/runner_call.cpp
+++ b/src/proxy/runner_call.cpp
@@ -202,7 +202,8 @@
     if (const auto change = rollout::forbiddenChange(out.body(), version, may))
       co_return CallOutcome{End::Fault, Verdict::MayHaveRun, kWeightsChange, change->told};
   }
-  out.keep_alive(keepAlive(exchange.request));
+  exchange.keep = keepAlive(exchange.request);
+  out.keep_alive(exchange.keep);
   const bool bodiless = exchange.request.method() == wire::verb::head || out.result() == wire::status::no_content ||
                         out.result() == wire::status::not_modified;
   if (!bodiless) out.prepare_payload();
--- a/tests/test_proxy.cpp
+++ b/tests/test_proxy.cpp
@@ -424,8 +424,119 @@
     cr_assert(starts(front.exchange(get("/check/1")), "HTTP/1.1 503"));
   }
   Front front({&runner});
-  front.executor.leave();
+  front.executor.leave(base::Clock::now() + std::chrono::hours(1));
   const auto out = front.exchange(get("/check/1") + get("/check/2"));
   cr_assert(has(out, "Connection: close"), "%s", out.c_str());
   cr_assert_eq(runner.count(), 1u);
 }
+
+namespace {
+
+const std::string kLong =
+    R"(,{"name":"long","hostname":"a.example","pathPrefix":"/long/","routeType":"idempotent","timeoutMs":3600000,"targetLatencyMs":300,"targetService":"plain","maxAttempts":1})";
+
+// A client's connection that stays open between requests.
+class KeptConnection {
+ public:
+  explicit KeptConnection(const tcp::endpoint& to) { socket_.connect(to); }
+  void send(const std::string& bytes) {
+    boost::system::error_code ignored;
+    asio::write(socket_, asio::buffer(bytes), ignored);
+  }
+  // The next answer, with its body; none when the connection ends without one.
+  std::optional<http::Response> answer() {
+    http::Response out;
+    boost::system::error_code error;
+    http::wire::read(socket_, buffer_, out, error);
+    if (error) return std::nullopt;
+    return out;
+  }
+  bool closed() {
+    char next = 0;
+    boost::system::error_code error;
+    return asio::read(socket_, asio::buffer(&next, 1), error) == 0;
+  }
+
+ private:
+  asio::io_context io_;
+  tcp::socket socket_{io_};
+  http::beast::flat_buffer buffer_;
+};
+
+}  // namespace
+
+Test(proxy, a_router_that_shuts_down_rejects_what_may_outlast_it_and_serves_the_rest) {
+  Runner runner({whole("ok")});
+  Front front({&runner}, "plain", kLong);
+  KeptConnection restingShort(front.address()), restingLong(front.address());
+  for (auto* client : {&restingShort, &restingLong}) {
+    client->send(get("/long/1"));
+    cr_assert_eq(client->answer()->result_int(), 200u);
+  }
+  // The route of /check/ gives a request 1.5 s, that of /long/ an hour.
+  front.executor.leave(base::Clock::now() + std::chrono::minutes(10));
+  KeptConnection newShort(front.address()), newLong(front.address());
+  for (auto* client : {&restingLong, &newLong}) {
+    client->send(get("/long/2"));
+    const auto answer = client->answer();
+    cr_assert(answer.has_value());
+    cr_assert_eq(answer->result_int(), 503u);
+    cr_assert(!answer->keep_alive());
+    cr_assert(answer->count("Retry-After") == 1 && client->closed());
+  }
+  cr_assert_eq(runner.count(), 2u);
+  for (auto* client : {&restingShort, &newShort}) {
+    client->send(get("/check/1"));
+    const auto answer = client->answer();
+    cr_assert(answer && answer->result_int() == 200 && !answer->keep_alive());
+    cr_assert(client->closed());
+  }
+  // The client's own deadline counts too.
+  KeptConnection patient(front.address());
+  patient.send(get("/long/3", "Indigohill-Time-Remaining: 60000\r\n"));
+  cr_assert_eq(patient.answer()->result_int(), 200u);
+  cr_assert_eq(runner.count(), 5u);
+}
+
+Test(proxy, a_router_that_shuts_down_serves_no_stream_that_may_outlast_it) {
+  Runner runner({raw(kStreamHead + chunk(event(1)) + "0\r\n\r\n")});
+  Front front({&runner}, "plain",
+              R"(,{"name":"tale","hostname":"a.example","pathPrefix":"/tale/","routeType":"streaming",)"
+              R"("timeoutMs":3600000,"targetLatencyMs":300,"targetService":"plain","maxAttempts":1})");
+  front.executor.leave(base::Clock::now() + std::chrono::minutes(10));
+  KeptConnection late(front.address()), fits(front.address());
+  late.send(get("/tale/1"));
+  const auto answer = late.answer();
+  cr_assert(answer && answer->result_int() == 503 && answer->count("Retry-After") == 1 && late.closed());
+  cr_assert_eq(runner.count(), 0u);
+  fits.send(get("/tale/1", "Indigohill-Time-Remaining: 60000\r\n"));
+  const auto served = fits.answer();
+  cr_assert(served && served->result_int() == 200 && served->body() == event(1) && fits.closed());
+}
+
+Test(proxy, idle_connections_are_closed_and_a_request_that_crosses_is_answered_or_was_never_read, .timeout = 300) {
+  Runner runner({whole("ok")});
+  // Nothing but the shutdown closes an idle connection here.
+  Front front({&runner}, "plain", 4, replaced(document(1), "\"idleTimeoutMs\":2000", "\"idleTimeoutMs\":3600000"));
+  constexpr int kClients = 200;
+  std::vector<std::unique_ptr<KeptConnection>> clients;
+  for (int i = 0; i < kClients; ++i) {
+    clients.push_back(std::make_unique<KeptConnection>(front.address()));
+    clients.back()->send(get("/check/1"));
+    cr_assert_eq(clients.back()->answer()->result_int(), 200u);
+  }
+  const auto before = front.executor.counters().requests.load();
+  front.executor.leave(base::Clock::now() + std::chrono::hours(1));
+  // The last client rests on; the others send while the connections are being closed.
+  std::thread closing([&] { front.executor.closeIdle(); });
+  for (int i = 0; i + 1 < kClients; ++i) clients[i]->send(get("/check/2"));
+  closing.join();
+  std::uint64_t answered = 0;
+  for (int i = 0; i + 1 < kClients; ++i)
+    if (const auto answer = clients[i]->answer()) {
+      cr_assert_eq(answer->result_int(), 200u);
+      ++answered;
+    }
+  cr_assert(clients.back()->closed());
+  cr_assert_eq(front.executor.counters().requests.load() - before, answered);
+}
