--- a/src/cli/controller.cpp
+++ b/src/cli/controller.cpp
@@ -34,7 +34,7 @@
               seedAddresses(settings), tuningOf(settings), randomSeed()),
         calls_(executor_,
                {[this](control::Order order) { submit(std::move(order)); },
-                [this](std::uint64_t call) { core_.forget(call); }, [this] { return watch_.now().controlPlane.port; }}),
+                [this](std::uint64_t call) { core_.cancel(call); }, [this] { return watch_.now().controlPlane.port; }}),
         control_(
             executor_, settings.controlPlane, {},
             [this](http::Request request, http::Caller caller) { return call(std::move(request), std::move(caller)); }),
@@ -71,14 +71,14 @@
     // Each zone may be lost with the copy and the vote that it holds; voters and copies are spread over zones.
     tuning.faultTolerance = std::max<std::size_t>({1, s.machines, s.zones});
     // What goes wrong with a write must be mended well within the time that an order may take.
-    tuning.replica.writeStuck = std::min(tuning.replica.writeStuck, s.ackTimeoutMs * 3 / 10);
-    tuning.replica.gather = std::min(tuning.replica.gather, s.ackTimeoutMs * 3 / 8);
-    tuning.replica.orderLife = std::min(tuning.replica.orderLife, s.ackTimeoutMs * 7 / 8);
+    tuning.replica.writeTimeout = std::min(tuning.replica.writeTimeout, s.ackTimeoutMs * 3 / 10);
+    tuning.replica.placementWait = std::min(tuning.replica.placementWait, s.ackTimeoutMs * 3 / 8);
+    tuning.replica.orderTimeout = std::min(tuning.replica.orderTimeout, s.ackTimeoutMs * 7 / 8);
     // A machine that was replaced by an empty one counts as lost only for `catchUpS` after the newcomer's start: by
     // then the voter that is gone must have been suspected, exchanged, and the record agreed on.
-    tuning.replica.exchange =
-        std::clamp(s.catchUpS - tuning.group.suspect - kAgreement, kShortestExchange, tuning.replica.exchange);
-    tuning.replica.replacement = tuning.group.suspect + kAgreement;
+    tuning.replica.voterReplacementDelay =
+        std::clamp(s.catchUpS - tuning.group.suspect - kAgreement, kShortestExchange, tuning.replica.voterReplacementDelay);
+    tuning.replica.newcomerWindow = tuning.group.suspect + kAgreement;
     return tuning;
   }
 
@@ -94,7 +94,7 @@
 
   void submit(control::Order order) {
     control::Effects effects;
-    core_.order(std::move(order), base::Clock::now(), effects);
+    core_.submit(std::move(order), base::Clock::now(), effects);
     apply(effects);
   }
 
@@ -105,7 +105,7 @@
       store_->write(std::move(write), [this](std::uint64_t token, bool ok) {
         asio::post(executor_, [this, token, ok] {
           control::Effects after;
-          core_.synced(token, ok, base::Clock::now(), after);
+          core_.onDiskWrite(token, ok, base::Clock::now(), after);
           apply(after);
         });
       });
--- a/src/cli/controller_status.cpp
+++ b/src/cli/controller_status.cpp
@@ -2,6 +2,8 @@
 
 #include <boost/json.hpp>
 
+#include "rollout/orders.hpp"
+
 namespace indigohill::cli {
 
 std::string controllerStatus(const control::Controller& core, std::uint64_t droppedMessages, base::TimePoint now) {
--- a/src/control/campaign.hpp
+++ b/src/control/campaign.hpp
@@ -1,5 +1,6 @@
 #pragma once
 #include <cstdint>
+#include <optional>
 #include <set>
 #include <string>
 #include <vector>
@@ -54,7 +55,8 @@
                                     base::TimePoint now);
 
   // Installing.
-  void onDiskWrite(std::uint64_t token) { sealed_ |= token == start_.sealToken; }
+  bool isSealWrite(std::uint64_t token) const { return token == start_.sealToken; }
+  void markSealed() { sealed_ = true; }
   bool awaitsInstallation(std::uint64_t token) const {
     return step_ == Step::Installing && token == start_.installToken;
   }
--- a/src/control/controller.cpp
+++ b/src/control/controller.cpp
@@ -20,7 +20,7 @@
       group_({self_.nodeName + "/controller", identity.voterId, self_.zone, membership::Role::Controller, self_.cohort},
              seeds, tuning.group, seed),
       replica_({identity.voterId, self_.cohort, tuning.faultTolerance}, identity.loaded, tuning.replica, seed + 1),
-      leadership_(tuning.replica.beat),
+      leadership_(tuning.replica.heartbeatInterval),
       publisher_(tuning.feed),
       stateSubscriber_(tuning.feed, seed, feed::Subscriber::Rotate::WhenSilent),
       runnerSubscriber_(tuning.feed, ~seed, feed::Subscriber::Rotate::WhenSilent) {
@@ -110,24 +110,24 @@
   const auto& record = *replica_.record();
   const auto round = leadership_.nextRound(record.epoch, now);
   if (!round) return;
-  if (replica_.accepts(record.epoch)) leadership_.confirm(replica_.voterId(), *round, record.epoch, record.voters);
+  if (replica_.confirms(record.epoch)) leadership_.confirm(replica_.voterId(), *round, record.epoch, record.voters);
   for (const auto& member : group_.view()->members)
     if (member.voterId != replica_.voterId() && base::contains(record.voters, member.voterId))
       out.push_back({{member.ip, member.port}, schema::ConfirmEpoch{replica_.voterId(), *round, record.epoch}});
   publisher_.confirmAt(leadership_.confirmedAt());
 }
 
-void Controller::synced(std::uint64_t token, bool ok, base::TimePoint now, Effects& effects) {
+void Controller::onDiskWrite(std::uint64_t token, bool ok, base::TimePoint now, Effects& effects) {
   if (!ok) effects.notes.push_back("the disk refuses to write");
-  replica_.synced(token, ok, now, effects);
+  replica_.onDiskWrite(token, ok, now, effects);
   settle(now, effects);
 }
 
-void Controller::order(Order order, base::TimePoint now, Effects& effects) {
+void Controller::submit(Order order, base::TimePoint now, Effects& effects) {
   // Whether a rollout would leave a service without runners is judged by the list that this controller has.
   if (order.kind == OrderKind::DeclareRollout || order.kind == OrderKind::AdvanceRollout)
     order.runners = publisher_.runners();
-  replica_.order(std::move(order), now, effects);
+  replica_.submit(std::move(order), now, effects);
   settle(now, effects);
 }
 
@@ -210,11 +210,12 @@
 
 void Controller::considerLeaving(base::TimePoint now, Effects& effects) {
   if (!leaving_ || leftGroup_) return;
-  if (!replica_.mayLeave(now) && now - leavingSince_ < tuning_.grace / 2) return;
+  if (!replica_.mayRetire(now) && now - leavingSince_ < tuning_.grace / 2) return;
   leftGroup_ = true;
   leftAt_ = now;
   group_.leave(effects.out);
-  effects.notes.push_back(replica_.mayLeave(now) ? "left the group" : "left the group, and nobody has taken its place");
+  effects.notes.push_back(replica_.mayRetire(now) ? "left the group"
+                                                  : "left the group, and nobody has taken its place");
 }
 
 // The others are given time to hear of it.
--- a/src/control/controller.hpp
+++ b/src/control/controller.hpp
@@ -30,10 +30,10 @@
 
   void tick(base::TimePoint now, Effects& effects);
   void receive(const schema::Message& message, const settings::Endpoint& from, base::TimePoint now, Effects& effects);
-  void synced(std::uint64_t token, bool ok, base::TimePoint now, Effects& effects);
-  void order(Order order, base::TimePoint now, Effects& effects);
+  void onDiskWrite(std::uint64_t token, bool ok, base::TimePoint now, Effects& effects);
+  void submit(Order order, base::TimePoint now, Effects& effects);
   // The caller has gone: its order is dropped if it has not been begun.
-  void forget(std::uint64_t call) { replica_.forget(call); }
+  void cancel(std::uint64_t call) { replica_.cancel(call); }
   void setSeeds(std::vector<settings::Endpoint> seeds);
 
   // The duty of reading the platform's list: whether it is due here, and what came of it.
--- a/src/control/effects.hpp
+++ b/src/control/effects.hpp
@@ -22,8 +22,8 @@
 
 struct Effects {
   net::Outbox out;
-  std::vector<DiskWrite> writes;  // to be made in this order
-  std::vector<Answer> answers;    // to operators
+  std::vector<DiskWrite> writes;   // to be made in this order
+  std::vector<Answer> answers;     // to operators
   std::vector<std::string> notes;  // for the log
 };
 
--- a/src/control/order.hpp
+++ b/src/control/order.hpp
@@ -7,6 +7,10 @@
 #include "schema/messages.hpp"
 #include "settings/settings.hpp"
 
+namespace indigohill::base {
+class Fingerprint;
+}
+
 // An operator's order and its answer.
 namespace indigohill::control {
 
@@ -36,6 +40,7 @@
   Order order;
   base::TimePoint arrivedAt{};
 };
+void addToFingerprint(base::Fingerprint& out, const QueuedOrder& queued, base::TimePoint now, base::Millis horizon);
 
 // 307 and 503 are no clear answer: the order may be sent again. All others are final.
 struct Answer {
@@ -44,6 +49,7 @@
   std::string body;
   settings::Endpoint redirect;  // cohort address of the primary, where status is 307
 };
+// Whether the answer is final.
 constexpr bool isClear(const Answer& answer) { return answer.status != 503 && answer.status != 307; }
 
 }  // namespace indigohill::control
--- a/src/control/pending_answers.cpp
+++ b/src/control/pending_answers.cpp
@@ -2,6 +2,8 @@
 
 #include <algorithm>
 
+#include "base/fingerprint.hpp"
+
 namespace indigohill::control {
 
 void PendingAnswers::add(QueuedOrder order, Answer answer) {
@@ -62,4 +64,14 @@
   std::erase_if(waiting_, [&](const auto& waiting) { return waiting.order.order.call == call; });
 }
 
+void PendingAnswers::addTo(base::Fingerprint& out, base::TimePoint now, base::Millis horizon) const {
+  out.add(waiting_.size());
+  for (const auto& waiting : waiting_) {
+    addToFingerprint(out, waiting.order, now, horizon);
+    out.add(waiting.answer.status, waiting.answer.body, waiting.round);
+  }
+  out.add(confirmed_, round_);
+  out.age(sentAt_, now, horizon);
+}
+
 }  // namespace indigohill::control
--- a/src/control/pending_answers.hpp
+++ b/src/control/pending_answers.hpp
@@ -8,6 +8,10 @@
 #include "base/time.hpp"
 #include "control/order.hpp"
 
+namespace indigohill::base {
+class Fingerprint;
+}
+
 // Answers that write nothing (reads, refusals, "already in force"), held back until a majority of the voters has
 // confirmed, after the order came, that it has accepted no later epoch record. Then no later record had been decided
 // when the answer was made, so the state that it rests on was the newest.
@@ -15,10 +19,6 @@
 // Confirmations are asked for in numbered rounds. A voter's word for a round also counts for all answers that were
 // waiting when an earlier round was sent, so one round serves every answer that was waiting when it went out. Rounds
 // belong to one epoch: with the next record the orders are judged again.
-namespace indigohill::base {
-class Fingerprint;
-}
-
 namespace indigohill::control {
 
 class PendingAnswers {
@@ -39,7 +39,7 @@
   std::vector<QueuedOrder> takeAll();
   void forget(std::uint64_t call);
   std::size_t size() const { return waiting_.size(); }
-  void addTo(base::Fingerprint& out, base::TimePoint now) const;
+  void addTo(base::Fingerprint& out, base::TimePoint now, base::Millis horizon) const;
 
  private:
   struct Waiting {
--- a/src/control/placement_policy.cpp
+++ b/src/control/placement_policy.cpp
@@ -220,6 +220,20 @@
   return out;
 }
 
+bool PlacementPolicy::mayRetire() const {
+  auto successors = in_.cluster.storageNodesExcept(in_.selfId);
+  std::erase_if(successors, [&](const auto* node) { return in_.members.isRetiring(node->voterId, in_.now); });
+  if (in_.record.primary == in_.selfId) return successors.empty();
+  if (base::contains(in_.record.backups, in_.selfId)) {
+    const auto others = std::count_if(successors.begin(), successors.end(),
+                                      [&](const auto* node) { return node->voterId != in_.record.primary; });
+    if (static_cast<std::size_t>(others) >= in_.record.backups.size()) return false;
+  }
+  if (base::contains(in_.record.voters, in_.selfId)) return base::contains(chooseVoters(), in_.selfId);
+  // The group's views must not rest on this voter any more.
+  return !base::contains(in_.cluster.voters, in_.selfId);
+}
+
 bool PlacementPolicy::replicasShareOneZone() const {
   const auto* self = in_.cluster.controller(in_.selfId);
   if (self == nullptr || in_.record.backups.empty()) return false;
--- a/src/control/placement_policy.hpp
+++ b/src/control/placement_policy.hpp
@@ -17,9 +17,9 @@
  public:
   // Everything a choice rests on. The references must outlive the policy.
   struct Inputs {
-    const std::string& selfId;              // voter id of the replica that chooses; it is the next primary
-    const schema::EpochRecord& record;      // in force
-    const ClusterView& cluster;             // candidates are its storage nodes
+    const std::string& selfId;          // voter id of the replica that chooses; it is the next primary
+    const schema::EpochRecord& record;  // in force
+    const ClusterView& cluster;         // candidates are its storage nodes
     const MemberTracker& members;
     std::size_t faultTolerance = 1;         // machines that may be lost at once with their disks
     base::Millis voterReplacementDelay{0};  // a voter missing for so long is replaced even if no newcomer came
@@ -44,6 +44,10 @@
   // The best `count` backups among those that have installed the state; fewer when there are not so many.
   std::vector<std::string> chooseInstalledBackups(std::size_t count, const std::set<std::string>& installed) const;
 
+  // Whether this replica may shut down without costing a replica of the state or a vote: it is none of primary, backup
+  // and voter any more, or nobody can take its place.
+  bool mayRetire() const;
+
   // Whether all replicas (this one and the backups in force) are in one zone although another has a storage node.
   bool replicasShareOneZone() const;
 
--- a/src/control/replica.cpp
+++ b/src/control/replica.cpp
@@ -1,29 +1,24 @@
 #include "control/replica.hpp"
 
 #include <algorithm>
+#include <set>
+#include <utility>
 
-#include "base/lists.hpp"
-#include "control/taken_orders.hpp"
+#include "control/order_processor.hpp"
 
 namespace indigohill::control {
 
 namespace {
-// Of taken configurations: 16 bytes each. A caller sends one again within seconds, so this covers any storm of changes.
-constexpr std::size_t kTakenOrdersKept = 512;
-constexpr std::size_t kOrdersWaiting = 64;
-constexpr base::Millis kDiskRest{3000};  // how long a controller whose disk failed does not stand
 
-constexpr base::Millis kSilence{5000};   // how long a backup that did not answer is taken only if there is no other
-constexpr base::Millis kRetiring{1500};  // a member that has not said so again for so long is not leaving any more
-constexpr base::Millis kSpread{5000};    // how often, at most, copies that all lie in one zone are moved
+constexpr base::Millis kDiskRest{3000};            // how long a controller whose disk failed does not campaign
+constexpr base::Millis kZoneSpreadInterval{5000};  // how often, at most, replicas that share one zone are moved
+constexpr int kBallotRandomBits = 20;
 
-// The machine that a voter's name tells of.
-std::string_view machine(std::string_view voterId) { return voterId.substr(0, voterId.find('/')); }
-
-bool majority(const std::set<std::string>& said, const std::vector<std::string>& voters) {
-  const auto count = std::count_if(voters.begin(), voters.end(), [&](const auto& v) { return said.contains(v); });
-  return 2 * static_cast<std::size_t>(count) > voters.size();
+// Ballots of two candidates never meet: the low bits are random.
+std::uint64_t ballotAbove(std::uint64_t ballot, std::uint64_t random) {
+  return ((ballot >> kBallotRandomBits) + 1) << kBallotRandomBits | (random & ((1u << kBallotRandomBits) - 1));
 }
+
 }  // namespace
 
 Replica::Replica(Self self, Loaded loaded, ReplicaTimes times, std::uint64_t seed)
@@ -31,12 +26,11 @@
       times_(times),
       random_(seed),
       record_(std::move(loaded.record)),
-      state_(std::move(loaded.state)),
-      pendingAnswers_(random_() >> 1) {
-  if (loaded.vote) vote_ = *loaded.vote;
-  // Before the first record is replaced nothing can have been acknowledged, so no state means an empty one.
-  if (!state_ && record_ && record_->epoch == 1) state_ = schema::ControlState{};
-}
+      acceptor_(loaded.vote.value_or(schema::Vote{})),
+      // Before the first record is replaced nothing can have been acknowledged, so no state means an empty one.
+      replication_(!loaded.state && record_ && record_->epoch == 1 ? schema::ControlState{} : std::move(loaded.state)),
+      orders_(random_() >> 1),
+      members_(self_.voterId) {}
 
 schema::EpochRecord Replica::firstRecord(std::vector<std::string> voters) {
   std::sort(voters.begin(), voters.end());
@@ -48,601 +42,375 @@
   return record;
 }
 
-// Below 2f+1 voters as many losses are borne as there are voters for: of n, (n-1)/2, with a copy more than that.
-bool Replica::complete() const {
+// Below 2f+1 voters as many losses are tolerated as there are voters for: of n, (n-1)/2, with a replica more than that.
+bool Replica::isFullyReplicated() const {
   return record_ && record_->voters.size() >= 2 * self_.faultTolerance + 1 &&
          record_->backups.size() >= self_.faultTolerance;
 }
 
-bool Replica::copiesWhole(const std::set<std::string>& done) const {
-  return std::all_of(record_->backups.begin(), record_->backups.end(), [&](const auto& b) { return done.contains(b); });
+PlacementPolicy Replica::placement(base::TimePoint now) const {
+  return PlacementPolicy({self_.voterId, *record_, cluster_, members_, self_.faultTolerance,
+                          times_.voterReplacementDelay, times_.newcomerWindow, now});
 }
 
-std::vector<const schema::Member*> Replica::storageNodes(bool self) const {
-  std::vector<const schema::Member*> out;
-  for (const auto& m : cluster_.controllers)
-    if (!m.voterId.empty() && (self || m.voterId != self_.voterId)) out.push_back(&m);
-  return out;
+bool Replica::anyBackupUnresponsive(base::TimePoint now) const {
+  return std::any_of(record_->backups.begin(), record_->backups.end(),
+                     [&](const auto& backup) { return members_.isUnresponsive(backup, now); });
 }
 
-bool Replica::anySilent(base::TimePoint now) const {
-  return std::any_of(record_->backups.begin(), record_->backups.end(), [&](const auto& b) { return silent(b, now); });
+bool Replica::anyBackupRetiring(base::TimePoint now) const {
+  return std::any_of(record_->backups.begin(), record_->backups.end(),
+                     [&](const auto& backup) { return members_.isRetiring(backup, now); });
 }
 
-bool Replica::retiring(const std::string& voterId, base::TimePoint now) const {
-  if (voterId == self_.voterId) return retiringSelf_;
-  const auto found = retiringAt_.find(voterId);
-  return found != retiringAt_.end() && now - found->second < kRetiring;
+bool Replica::isPrimaryFresh(base::TimePoint now) const {
+  return active(now) || primary_.isFresh(now, times_.heartbeatInterval);
 }
 
-bool Replica::anyRetiring(base::TimePoint now) const {
-  return std::any_of(record_->backups.begin(), record_->backups.end(), [&](const auto& b) { return retiring(b, now); });
+std::optional<settings::Endpoint> Replica::primaryAddress() const {
+  if (!record_) return std::nullopt;
+  if (isPrimary()) return self_.address;
+  return addressOf(record_->primary);
 }
 
-// To all that may lead or take the place, so that each also knows who cannot.
-void Replica::announceRetiring(base::TimePoint now, Effects& effects) {
-  announcedAt_ = now;
-  for (const auto* m : storageNodes(false)) effects.out.push_back({{m->ip, m->port}, schema::Retiring{self_.voterId}});
-  transferLeadership(effects.out);
+bool Replica::confirms(std::uint64_t epoch) const {
+  return record_ && record_->epoch == epoch && acceptor_.acceptedAfter(epoch) == nullptr;
 }
 
-void Replica::on(const schema::Retiring& m, base::TimePoint now, Effects&) { retiringAt_[m.from] = now; }
-
-void Replica::retire(base::TimePoint now, Effects& effects) {
-  if (relay()) return;
-  retiringSelf_ = true;
-  announceRetiring(now, effects);
-}
-
-bool Replica::mayLeave(base::TimePoint now) const {
-  if (relay() || !record_) return true;
-  auto pool = storageNodes(false);
-  std::erase_if(pool, [&](const auto* m) { return retiring(m->voterId, now); });
-  if (record_->primary == self_.voterId) return pool.empty();
-  if (isBackup()) {
-    const auto others =
-        std::count_if(pool.begin(), pool.end(), [&](const auto* m) { return m->voterId != record_->primary; });
-    if (static_cast<std::size_t>(others) >= record_->backups.size()) return false;
-  }
-  if (base::contains(record_->voters, self_.voterId)) {
-    auto without = *record_;
-    chooseVoters(without, now);
-    return base::contains(without.voters, self_.voterId);
+void Replica::tick(base::TimePoint now, const ClusterView& cluster, Effects& effects) {
+  if (cluster.leaseHeld(now) && !leaseHeld(now)) primary_.onLeaseGained(now);
+  cluster_ = cluster;
+  // Leadership rests on the view: without a lease there may be another primary by now.
+  if (!leaseHeld(now) && phase_ != Phase::Idle) stepDown(effects);
+  members_.expire(now);
+  if (members_.isSelfRetiring() && now - retirementSentAt_ >= times_.resendInterval) announceRetirement(now, effects);
+  if (record_ && !isObserver()) {
+    members_.observe(cluster_, *record_, now);
+    resendRecord(now, effects);
+    considerCampaign(now, effects);
   }
-  // The group's views must not rest on this voter any more.
-  return !base::contains(cluster_.voters, self_.voterId);
+  if (replication_.inProgress()) checkWrite(now, effects);
+  if (diskFailing_ && now >= campaignNotBefore_) diskFailing_ = false;
+  for (auto& answer : orders_.takeExpired(now, times_.orderTimeout)) effects.answers.push_back(std::move(answer));
+  processOrders(now, effects);
+  requestConfirmation(now, effects);
+  if (active(now) && now - heartbeatSentAt_ >= times_.heartbeatInterval) sendHeartbeats(now, effects);
+  drainLoopback(now, effects);
 }
 
-bool Replica::silent(const std::string& voterId, base::TimePoint now) const {
-  const auto found = silentAt_.find(voterId);
-  return found != silentAt_.end() && now - found->second < kSilence;
-}
-
-const schema::Member* Replica::controller(const std::string& voterId) const {
-  for (const auto& m : cluster_.controllers)
-    if (m.voterId == voterId) return &m;
-  return nullptr;
-}
+// Messages and disk.
 
 std::optional<settings::Endpoint> Replica::addressOf(const std::string& voterId) const {
-  if (const auto* m = controller(voterId)) return settings::Endpoint{m->ip, m->port};
-  if (const auto found = lastAddress_.find(voterId); found != lastAddress_.end()) return found->second;
-  return std::nullopt;
+  if (const auto* member = cluster_.controller(voterId)) return settings::Endpoint{member->ip, member->port};
+  return members_.lastAddress(voterId);
 }
 
 void Replica::send(const std::string& to, schema::Message message, Effects& effects) {
   if (to == self_.voterId)
-    local_.push_back(std::move(message));
+    loopback_.push_back(std::move(message));
   else if (const auto address = addressOf(to))
     effects.out.push_back({*address, std::move(message)});
 }
 
-std::uint64_t Replica::write(Slot slot, std::string bytes, Effects& effects) {
-  const auto token = nextToken_++;
-  if (!relay()) effects.writes.push_back({token, slot, std::move(bytes)});
-  return token;
+void Replica::sendAll(std::vector<PeerMessage> messages, Effects& effects) {
+  for (auto& message : messages) send(message.to, std::move(message.message), effects);
 }
 
-// A witness answers only once its word is on disk.
-void Replica::saveVote(std::optional<Reply> reply, Effects& effects) {
-  const auto token = write(Slot::Vote, net::encodeVote(vote_), effects);
-  if (reply) replies_[token] = std::move(*reply);
+// To all other controllers of the view, observers too.
+void Replica::sendToControllers(const schema::Message& message, Effects& effects) const {
+  for (const auto& member : cluster_.controllers)
+    if (member.voterId != self_.voterId) effects.out.push_back({{member.ip, member.port}, message});
 }
 
-bool Replica::primaryFresh(base::TimePoint now) const {
-  return active(now) || (beatSeen_ && now - beatAt_ < 4 * times_.beat);
+void Replica::receive(const schema::Message& message, const settings::Endpoint& from, base::TimePoint now,
+                      Effects& effects) {
+  handle(message, from, now, effects);
+  drainLoopback(now, effects);
 }
 
-std::optional<settings::Endpoint> Replica::primaryAddress() const {
-  if (!record_) return std::nullopt;
-  if (record_->primary == self_.voterId) return self_.address;
-  return addressOf(record_->primary);
+void Replica::handle(const schema::Message& message, const settings::Endpoint& from, base::TimePoint now,
+                     Effects& effects) {
+  std::visit(
+      [&](const auto& m) {
+        if constexpr (requires { on(m, now, effects); }) {
+          if constexpr (requires { m.from; })
+            if (from.port != 0) members_.setAddress(m.from, from);
+          on(m, now, effects);
+        }
+      },
+      message);
 }
 
-void Replica::transferLeadership(net::Outbox& out) {
-  if (!record_ || record_->primary != self_.voterId) return;
-  // One alone is asked, as two that stand at once hold each other up: best one that stays, and that has the write under
-  // way.
-  const auto preference = [&](const std::string& backup) {
-    return std::pair(!retiringAt_.contains(backup), current_ && current_->copied.contains(backup));
-  };
-  const std::string* successor = nullptr;
-  for (const auto& backup : record_->backups) {
-    if (controller(backup) == nullptr) continue;
-    if (successor == nullptr || preference(backup) > preference(*successor)) successor = &backup;
+void Replica::drainLoopback(base::TimePoint now, Effects& effects) {
+  while (!loopback_.empty()) {
+    const auto message = std::move(loopback_.front());
+    loopback_.pop_front();
+    handle(message, {}, now, effects);
   }
-  if (successor == nullptr) return;
-  if (const auto address = addressOf(*successor))
-    out.push_back({*address, schema::TransferLeadership{self_.voterId, record_->epoch}});
 }
 
-void Replica::stepDown(Effects& effects) {
-  phase_ = Phase::Idle;
-  published_.reset();
-  requeue();
-  for (const auto& queued : orders_) effects.answers.push_back({queued.order.call, 503, "the primary changes", {}});
-  orders_.clear();
+std::uint64_t Replica::write(Slot slot, std::string bytes, Effects& effects) {
+  const auto token = nextToken_++;
+  if (!isObserver()) effects.writes.push_back({token, slot, std::move(bytes)});
+  return token;
 }
 
-// Puts what is under way back in front of the queue, as it arrived: it is judged again under the next record.
-void Replica::requeue() {
-  if (current_ && current_->order) orders_.push_front(std::move(*current_->order));
-  current_.reset();
-  auto pending = pendingAnswers_.takeAll();
-  orders_.insert(orders_.begin(), std::make_move_iterator(pending.begin()), std::make_move_iterator(pending.end()));
+// A voter answers only once its vote is on disk.
+void Replica::saveVote(std::optional<Reply> reply, Effects& effects) {
+  const auto token = write(Slot::Vote, net::encodeVote(acceptor_.vote()), effects);
+  if (reply) replies_[token] = std::move(*reply);
 }
 
-// Takes over a record that was decided.
-void Replica::adopt(const schema::EpochRecord& record, base::TimePoint now, Effects& effects) {
-  if (record.epoch == 0 || (record_ && record.epoch <= record_->epoch)) return;
-  record_ = record;
-  write(Slot::Record, net::encodeRecord(record), effects);
-  candidacy_.reset();
-  beatSeen_ = false;
-  transferRequested_ = false;
-  primaryGone_ = false;
-  leaseSince_ = now;
-  if (record.primary != self_.voterId) {
-    if (phase_ != Phase::Idle) stepDown(effects);
-    return;
+void Replica::onDiskWrite(std::uint64_t token, bool ok, base::TimePoint now, Effects& effects) {
+  if (const auto found = replies_.find(token); found != replies_.end()) {
+    auto reply = std::move(found->second);
+    replies_.erase(found);
+    if (ok) send(reply.to, std::move(reply.message), effects);
   }
-  if (!state_) return;
-  // This controller stood for the record (or somebody finished it on its behalf): what it holds is written once more
-  // under the new epoch, at the backup too, before anything of it is shown. Only then is the older epoch shut out
-  // wherever the state lies.
-  requeue();
-  phase_ = Phase::Activating;
-  auto next = *state_;
-  next.version.epoch = record.epoch;
-  startWrite(std::move(next), std::nullopt, now, effects);
+  if (ok && campaign_ && campaign_->isSealWrite(token)) {
+    campaign_->markSealed();
+    considerPreparing(now, effects);
+  }
+  if (replication_.isInProgress(token)) {
+    if (ok) {
+      replication_.onOwnDisk();
+      considerPublishing(now, effects);
+    } else {
+      restDisk(now, effects);
+    }
+  }
+  drainLoopback(now, effects);
 }
 
-// Whether all copies lie in one zone although another zone has a controller for one.
-bool Replica::inOneZone(const std::vector<std::string>& copies) const {
-  const auto* own = controller(self_.voterId);
-  if (own == nullptr || copies.empty()) return false;
-  for (const auto& copy : copies)
-    if (const auto* m = controller(copy); m == nullptr || m->zone != own->zone) return false;
-  return std::any_of(cluster_.controllers.begin(), cluster_.controllers.end(),
-                     [&](const auto& m) { return !m.voterId.empty() && m.zone != own->zone; });
-}
-
-// The backups that are best now, among the controllers in the view or among those that are given. First those that
-// answer, then those of zones that hold no copy yet (the loss of a zone must leave one), then those that are backups
-// already, voters, standbys.
-std::vector<std::string> Replica::chooseBackups(std::size_t count, const std::set<std::string>* among,
-                                                base::TimePoint now) const {
-  auto pool = storageNodes(false);
-  if (among != nullptr) std::erase_if(pool, [&](const auto* m) { return !among->contains(m->voterId); });
-  std::map<std::string, std::size_t> copies;
-  if (const auto* own = controller(self_.voterId)) ++copies[own->zone];
-  const bool leads = record_->primary == self_.voterId;
-  const auto rank = [&](const schema::Member& m) {
-    // A primary that is being replaced is in trouble or leaves.
-    const bool doubtful = among == nullptr && (silent(m.voterId, now) || m.voterId == record_->primary);
-    const int doubt = retiring(m.voterId, now) ? 2 : doubtful ? 1 : 0;
-    const int kind = leads && base::contains(record_->backups, m.voterId) ? 0
-                     : base::contains(record_->voters, m.voterId)         ? 1
-                                                                          : 2;
-    return std::tuple(doubt, copies[m.zone], kind);
-  };
-  std::vector<std::string> out;
-  while (out.size() < count && !pool.empty()) {
-    const auto best =
-        std::min_element(pool.begin(), pool.end(), [&](const auto* a, const auto* b) { return rank(*a) < rank(*b); });
-    ++copies[(*best)->zone];
-    out.push_back((*best)->voterId);
-    pool.erase(best);
-  }
-  return out;
-}
-
-// The voters of the next record: those that have been missing for long are exchanged, all that can be at once, and
-// there are to be 2f+1, or as many as there are controllers with a disk, but an odd number. No zone is to hold more
-// than f.
-//
-// Any change may be made in one record. The record after epoch e is the value of one decree among the voters of e, so
-// there is one whatever its voters are. It also needs a majority of its own voters to have accepted it, so whoever
-// later holds a majority of them finds it. Voters of e that missed it cannot go on by themselves: a majority of them
-// holds one that accepted it, or has since learned of a later record, and is handed that.
-void Replica::chooseVoters(schema::EpochRecord& target, base::TimePoint now) const {
-  auto& voters = target.voters;
-  const auto pool = storageNodes(true);
-  std::map<std::string, std::size_t> held;
-  const auto zoneOf = [&](const std::string& voter) -> std::string {
-    if (const auto* m = controller(voter)) return m->zone;
-    const auto found = seenIn_.find(voter);
-    return found == seenIn_.end() ? std::string() : found->second;
-  };
-  for (const auto& voter : voters) ++held[zoneOf(voter)];
-  for (const auto* m : pool) held.try_emplace(m->zone, 0);
-  const auto borne = pool.empty() ? 0 : std::min(self_.faultTolerance, (pool.size() - 1) / 2);
-  const auto wanted = std::max(voters.size(), 2 * borne + 1);
-  // In fewer zones than it takes, they are at least spread evenly.
-  const auto most = std::max(self_.faultTolerance, (wanted + held.size() - 1) / held.size());
-  const auto successor = [&](const std::string& zone) -> const schema::Member* {
-    const schema::Member* best = nullptr;
-    const auto rank = [&](const schema::Member& m) {
-      return std::tuple(silent(m.voterId, now), m.zone != zone, held[m.zone], m.voterId);
-    };
-    for (const auto* m : pool)
-      if (!base::contains(voters, m->voterId) && !retiring(m->voterId, now) && held[m->zone] < most &&
-          (best == nullptr || rank(*m) < rank(*best)))
-        best = m;
-    return best;
-  };
-  const auto exchange = [&](std::string& voter, const schema::Member& by) {
-    --held[zoneOf(voter)];
-    ++held[by.zone];
-    voter = by.voterId;
-  };
-  // Each machine that came stands for one that is lost.
-  auto newcomers = pool;
-  std::erase_if(newcomers, [&](const auto* m) { return base::contains(voters, m->voterId); });
-  for (auto& voter : voters) {
-    const bool leaves = retiring(voter, now);
-    const auto missing = missingSince_.find(voter);
-    if (missing == missingSince_.end() && !leaves) continue;
-    // On the voter's own machine there is now a newcomer: its disk is gone, and nothing is to be waited for.
-    const auto* newcomer = static_cast<const schema::Member*>(nullptr);
-    for (const auto* m : pool)
-      if (m->voterId != voter && machine(m->voterId) == machine(voter)) newcomer = m;
-    const bool wiped = newcomer != nullptr;
-    const auto replacement =
-        std::find_if(newcomers.begin(), newcomers.end(), [&](const auto* m) { return newcomerFor(voter, *m); });
-    const bool replaced = !leaves && !wiped && replacement != newcomers.end();
-    if (replaced) newcomers.erase(replacement);
-    const auto zone = wiped ? newcomer->zone : zoneOf(voter);
-    if (!wiped && !leaves && !replaced && now - missing->second < times_.exchange) continue;
-    --held[zoneOf(voter)];
-    const auto* by = successor(zone);
-    ++held[zoneOf(voter)];
-    if (by != nullptr) exchange(voter, *by);
+// Leadership: campaigns for the next record, and its end.
+
+void Replica::considerCampaign(base::TimePoint now, Effects& effects) {
+  if (now < campaignNotBefore_) return;
+  if (!leaseHeld(now)) {
+    considerFinishing(now, effects);
+  } else if (campaign_) {
+    continueCampaign(now, effects);
+  } else if (isPrimary()) {
+    if (state()) considerNextRecord(now, effects);
+  } else if (isBackup() && state()) {
+    if (primary_.shouldTakeOver(self_.voterId, *record_, cluster_, times_, now)) campaign(now, effects);
+  } else {
+    considerOrphanedRecord(now, effects);
+  }
+}
+
+void Replica::continueCampaign(base::TimePoint now, Effects& effects) {
+  if (campaign_->timedOut(now))
+    campaign(now, effects);
+  else if (campaign_->sinceSent(now) >= times_.resendInterval)
+    sendCampaign(now, effects);
+  considerPreparing(now, effects);
+}
+
+// Voters that have accepted a record stop renewing leases of the present epoch, so none may be left to finish it with.
+// Finishing needs none: the ballots alone keep it to one value.
+void Replica::considerFinishing(base::TimePoint now, Effects& effects) {
+  if (accepted() == nullptr || !isVoter()) return;
+  const bool voting = campaign_ && campaign_->step() != Campaign::Step::Installing;
+  if (voting && !campaign_->timedOut(now)) {
+    if (campaign_->sinceSent(now) >= times_.resendInterval) sendCampaign(now, effects);
+  } else if (now - acceptor_.acceptedAt() > randomizedCampaignTimeout()) {
+    finishAcceptedRecord(now, effects);
   }
-  while (voters.size() < wanted) {
-    const auto* one = successor({});
-    if (one == nullptr) break;
-    auto trial = voters;
-    trial.push_back(one->voterId);
-    ++held[one->zone];
-    if (trial.size() % 2 == 0) {
-      std::swap(trial, voters);
-      const auto* two = successor({});
-      std::swap(trial, voters);
-      if (two == nullptr) break;  // never an even number: it bears no more losses and needs one more for a majority
-      trial.push_back(two->voterId);
-      ++held[two->zone];
-    }
-    voters = std::move(trial);
+}
+
+// As primary: whether other backups or voters are wanted. Without all backups nothing can be acknowledged, and the
+// machine may be the next to be lost: new ones at once. Missing voters are replaced.
+void Replica::considerNextRecord(base::TimePoint now, Effects& effects) {
+  if (phase_ == Phase::Idle) {
+    campaign(now, effects);
+    return;
   }
-  // A zone that came to hold too many while another was away gives one back.
-  for (auto& voter : voters) {
-    const auto* m = controller(voter);
-    if (m == nullptr || voter == self_.voterId || held[m->zone] <= most) continue;
-    if (const auto* by = successor({})) exchange(voter, *by);
+  const auto policy = placement(now);
+  const auto next = policy.nextRecord();
+  if (!next) return;
+  const bool otherVoters = next->voters != record_->voters;
+  const bool votersDue = otherVoters && active(now) && !members_.isSelfRetiring();
+  if (next->backups == record_->backups && !votersDue) return;
+  // That the replicas are spread over zones is worth an epoch too, now and then.
+  const bool spreadOnly =
+      policy.replicasShareOneZone() && !otherVoters && !anyBackupUnresponsive(now) && !anyBackupRetiring(now);
+  if (spreadOnly) {
+    if (now - zoneSpreadAt_ < kZoneSpreadInterval) return;
+    zoneSpreadAt_ = now;
   }
-  std::sort(voters.begin(), voters.end());
+  campaign(now, effects);
+}
+
+// A record that some voters accepted and nobody finished, as its primary is gone: any voter may finish that very value.
+void Replica::considerOrphanedRecord(base::TimePoint now, Effects& effects) {
+  const auto& vote = acceptor_.vote();
+  if (vote.slot != record_->epoch + 1 || vote.acceptedBallot == 0 || !isVoter()) return;
+  const bool primaryPresent = cluster_.controller(vote.accepted.primary) != nullptr;
+  if (!primaryPresent && primary_.watchedFor(now) > times_.electionTimeout) campaign(now, effects);
 }
 
-bool Replica::chooseNextRecord(schema::EpochRecord& target, base::TimePoint now) const {
-  target = *record_;
-  ++target.epoch;
-  target.primary = self_.voterId;
-  chooseVoters(target, now);
-  // A copy on each of f backups; with fewer voters than 2f+1 on as many as the voters can lose.
-  const auto count = std::min(self_.faultTolerance, target.voters.size() / 2);
-  target.backups = chooseBackups(count, nullptr, now);
-  if (target.backups.size() < count) return false;
-  // Those that are backups stay, unless one of them is why there is a choice.
-  if (record_->primary == self_.voterId && record_->backups.size() == count && !inOneZone(record_->backups) &&
-      std::all_of(record_->backups.begin(), record_->backups.end(),
-                  [&](const auto& b) { return controller(b) != nullptr; }) &&
-      !anySilent(now) && !anyRetiring(now))
-    target.backups = record_->backups;
-  // The same ones in another order are no change.
-  if (std::is_permutation(target.backups.begin(), target.backups.end(), record_->backups.begin(),
-                          record_->backups.end()))
-    target.backups = record_->backups;
-  return true;
-}
-
-// Stands as primary of the next epoch. From here on this controller neither writes nor takes copies in the present
+// Campaigns as primary of the next epoch. From here on this replica neither makes nor takes replicas in the present
 // one, whatever becomes of it: another may finish what was proposed here, and a backup chosen now holds nothing that
 // is written later.
-void Replica::campaign(base::TimePoint now, Effects& effects, bool finishing) {
-  schema::EpochRecord target;
-  finishing |= record_->primary != self_.voterId && !isBackup();
-  if (finishing)
-    target = vote_.accepted;
-  else if (!chooseNextRecord(target, now))
+void Replica::campaign(base::TimePoint now, Effects& effects) {
+  if (!isPrimary() && !isBackup()) {
+    finishAcceptedRecord(now, effects);
     return;
-  if (phase_ == Phase::Active || phase_ == Phase::Activating) requeue();
-  if (!finishing) phase_ = Phase::Campaigning;
-  if (vote_.slot != target.epoch) vote_ = {target.epoch, 0, 0, {}, vote_.sealed};
-  vote_.sealed = std::max(vote_.sealed, record_->epoch);
-  Candidacy c;
-  c.target = c.value = target;
-  // Ballots of two candidates never meet: the low bits are drawn by lot.
-  c.ballot = ((std::max(vote_.promised, candidacy_ ? candidacy_->ballot : 0) >> 20) + 1) << 20 | (random_() & 0xfffff);
-  c.installToken = random_();
-  c.startedAt = now;
-  c.patience = times_.retry + base::Millis(random_() % (times_.retry.count() + 1));
-  c.step = finishing ? Candidacy::Step::Preparing : Candidacy::Step::Installing;
-  c.sealToken = nextToken_;  // of the write that comes next
-  candidacy_ = c;
+  }
+  auto target = placement(now).nextRecord();
+  if (!target) return;
+  if (phase_ == Phase::Active || phase_ == Phase::Activating) orders_.requeue(replication_.abandon());
+  phase_ = Phase::Campaigning;
+  startCampaign(std::move(*target), Campaign::Step::Installing, now, effects);
+}
+
+// Proposes the record that this voter has accepted, whoever it makes primary.
+void Replica::finishAcceptedRecord(base::TimePoint now, Effects& effects) {
+  if (phase_ == Phase::Active || phase_ == Phase::Activating) orders_.requeue(replication_.abandon());
+  startCampaign(acceptor_.vote().accepted, Campaign::Step::Preparing, now, effects);
+}
+
+void Replica::startCampaign(schema::EpochRecord target, Campaign::Step firstStep, base::TimePoint now,
+                            Effects& effects) {
+  acceptor_.seal(target.epoch, record_->epoch);
+  Campaign::Start start;
+  start.target = std::move(target);
+  start.step = firstStep;
+  start.ballot = ballotAbove(std::max(acceptor_.vote().promised, campaign_ ? campaign_->ballot() : 0), random_());
+  start.installToken = random_();
+  start.sealToken = nextToken_;  // of the vote that is saved next
+  start.at = now;
+  start.timeout = randomizedCampaignTimeout();
+  campaign_.emplace(std::move(start));
   saveVote(std::nullopt, effects);
-  push(now, effects);
+  sendCampaign(now, effects);
   considerPreparing(now, effects);
 }
 
-// Sends what the present step of the candidacy still wants an answer to.
-void Replica::push(base::TimePoint now, Effects& effects) {
-  auto& c = *candidacy_;
-  c.sentAt = now;
-  switch (c.step) {
-    case Candidacy::Step::Installing: {
-      // At first to those that are wanted; if they do not all answer at once, to everybody: several may be in trouble
-      // together, and they are not to be found out one after the other.
-      std::set<std::string> targets(c.target.backups.begin(), c.target.backups.end());
-      if (now != c.startedAt)
-        for (const auto* m : storageNodes(false)) targets.insert(m->voterId);
-      for (const auto& to : targets)
-        if (!c.installed.contains(to))
-          send(to, schema::ReplicateState{self_.voterId, c.installToken, true, *record_, *state_}, effects);
-      break;
-    }
-    case Candidacy::Step::Preparing:
-      for (const auto& voter : record_->voters)
-        if (!c.promised.contains(voter)) {
-          if (now != c.startedAt) send(voter, schema::Decided{*record_}, effects);
-          send(voter, schema::Prepare{self_.voterId, c.target.epoch, c.ballot}, effects);
-        }
-      break;
-    case Candidacy::Step::Accepting: {
-      std::set<std::string> voters(record_->voters.begin(), record_->voters.end());
-      voters.insert(c.value.voters.begin(), c.value.voters.end());
-      for (const auto& voter : voters)
-        if (!c.accepted.contains(voter))
-          send(voter, schema::Accept{self_.voterId, c.target.epoch, c.ballot, c.value}, effects);
-      break;
-    }
-  }
+base::Millis Replica::randomizedCampaignTimeout() {
+  return times_.campaignTimeout + base::Millis(random_() % (times_.campaignTimeout.count() + 1));
+}
+
+void Replica::sendCampaign(base::TimePoint now, Effects& effects) {
+  sendAll(campaign_->messages(self_.voterId, *record_, state(), cluster_, now), effects);
 }
 
-// The record is put to the voters once its backups hold the whole state on disk, and the seal is on disk here: a
-// candidate that lost it in a crash would take copies again that its new backups lack.
+// The record is put to the voters once its backups hold the whole state on disk, and the seal is on disk here.
 void Replica::considerPreparing(base::TimePoint now, Effects& effects) {
-  if (!candidacy_ || candidacy_->step != Candidacy::Step::Installing || !candidacy_->sealed) return;
-  auto& c = *candidacy_;
-  const auto count = c.target.backups.size();
-  if (!std::all_of(c.target.backups.begin(), c.target.backups.end(),
-                   [&](const auto& b) { return c.installed.contains(b); })) {
-    // Those that were wanted have had their time: the best of those that have answered.
-    if (now - c.startedAt < times_.resend || c.installed.size() < count) return;
-    for (const auto& b : c.target.backups)
-      if (!c.installed.contains(b)) silentAt_[b] = now;
-    const auto chosen = chooseBackups(count, &c.installed, now);
+  if (!campaign_ || campaign_->step() != Campaign::Step::Installing || !campaign_->isSealed()) return;
+  const auto missing = campaign_->backupsNotInstalled();
+  if (!missing.empty()) {
+    // Those that were chosen have had their time: the best of those that have answered take their place.
+    const auto count = campaign_->backups().size();
+    if (campaign_->age(now) < times_.resendInterval || campaign_->installed().size() < count) return;
+    for (const auto& backup : missing) members_.markUnresponsive(backup, now);
+    const auto chosen = placement(now).chooseInstalledBackups(count, campaign_->installed());
     if (chosen.size() < count) return;
-    c.target.backups = c.value.backups = chosen;
+    campaign_->replaceBackups(chosen);
   }
-  c.step = Candidacy::Step::Preparing;
-  push(now, effects);
+  campaign_->startPreparing();
+  sendCampaign(now, effects);
 }
 
-// Voters that have accepted a record stop renewing leases of the present epoch, so none may be left to finish it with.
-// Finishing needs none: the ballots alone keep it to one value.
-void Replica::considerFinishing(base::TimePoint now, Effects& effects) {
-  if (accepted() == nullptr || !base::contains(record_->voters, self_.voterId)) return;
-  const bool standing = candidacy_ && candidacy_->step != Candidacy::Step::Installing;
-  if (standing && now - candidacy_->startedAt <= candidacy_->patience) {
-    if (now - candidacy_->sentAt >= times_.resend) push(now, effects);
-  } else if (now - acceptedAt_ > times_.retry + base::Millis(random_() % (times_.retry.count() + 1))) {
-    campaign(now, effects, true);
+// Takes over a record that was decided.
+void Replica::adopt(const schema::EpochRecord& record, base::TimePoint now, Effects& effects) {
+  if (record.epoch == 0 || (record_ && record.epoch <= record_->epoch)) return;
+  record_ = record;
+  write(Slot::Record, net::encodeRecord(record), effects);
+  campaign_.reset();
+  primary_.reset(now);
+  if (!isPrimary()) {
+    if (phase_ != Phase::Idle) stepDown(effects);
+    return;
   }
+  if (!state()) return;
+  // This controller campaigned for the record (or somebody finished it on its behalf): what it holds is written once
+  // more under the new epoch, at the backups too, before anything of it is shown. Only then is the older epoch fenced
+  // wherever the state lies.
+  orders_.requeue(replication_.abandon());
+  phase_ = Phase::Activating;
+  auto next = *state();
+  next.version.epoch = record.epoch;
+  startWrite(std::move(next), std::nullopt, now, effects);
 }
 
-void Replica::considerCampaign(base::TimePoint now, Effects& effects) {
-  if (!record_ || now < campaignAfter_) return;
-  if (!leaseHeld(now)) {
-    considerFinishing(now, effects);
-    return;
-  }
-  if (candidacy_) {
-    if (now - candidacy_->startedAt > candidacy_->patience)
-      campaign(now, effects);
-    else if (now - candidacy_->sentAt >= times_.resend)
-      push(now, effects);
-    considerPreparing(now, effects);
-    return;
-  }
-  if (record_->primary == self_.voterId) {
-    if (!state_) return;
-    schema::EpochRecord target;
-    if (phase_ == Phase::Idle) {
-      campaign(now, effects);
-    } else if (chooseNextRecord(target, now) && (target.backups != record_->backups ||
-                                                 (active(now) && !retiringSelf_ && target.voters != record_->voters))) {
-      // Without all backups nothing can be acknowledged, and the machine may be the next to be lost: new ones at once.
-      // Missing voters are exchanged; and that copies are spread over zones is worth an epoch too, now and then.
-      if (inOneZone(record_->backups) && target.voters == record_->voters && !anySilent(now) && !anyRetiring(now)) {
-        if (now - spreadAt_ < kSpread) return;
-        spreadAt_ = now;
-      }
-      campaign(now, effects);
-    }
-    return;
-  }
-  if (isBackup() && state_) {
-    const bool gone = controller(record_->primary) == nullptr;
-    if (gone && !primaryGone_) primaryGoneAt_ = now;
-    primaryGone_ = gone;
-    // Any of the backups holds all that was acknowledged. They stand by turns, as two at once hold each other up.
-    base::Millis turn{0};
-    for (const auto& backup : record_->backups) {
-      if (backup == self_.voterId) break;
-      if (controller(backup) != nullptr) turn += times_.turn;
-    }
-    const auto heard = beatSeen_ ? std::max(beatAt_, leaseSince_) : leaseSince_;
-    if (transferRequested_ || (gone && now - primaryGoneAt_ >= turn) || now - heard > times_.quiet + turn)
-      campaign(now, effects);
-    return;
-  }
-  // A record that some voters accepted and nobody finished: any voter may finish that very value.
-  if (vote_.slot == record_->epoch + 1 && vote_.acceptedBallot != 0 && base::contains(record_->voters, self_.voterId)) {
-    const bool owner = controller(vote_.accepted.primary) != nullptr;
-    if (!owner && now - leaseSince_ > times_.quiet) campaign(now, effects);
-  }
+void Replica::stepDown(Effects& effects) {
+  phase_ = Phase::Idle;
+  replication_.clearPublished();
+  orders_.requeue(replication_.abandon());
+  for (auto& answer : orders_.rejectAll("the primary changes")) effects.answers.push_back(std::move(answer));
+}
+
+// The own disk fails or hangs: the backups have what counts, so one of them shall lead.
+void Replica::restDisk(base::TimePoint now, Effects& effects) {
+  diskFailing_ = true;
+  campaignNotBefore_ = now + kDiskRest;
+  transferLeadership(effects.out);
+  stepDown(effects);
 }
 
-// Whether a machine came about when this voter went: its successor on new hardware. It may have joined before the
-// voter was suspected. What was there when this replica got its first view, or a voter that it has never seen, tells
-// nothing.
-bool Replica::newcomerFor(const std::string& voter, const schema::Member& candidate) const {
-  const auto seen = firstSeen_.find(candidate.voterId);
-  const auto missing = missingSince_.find(voter);
-  if (seen == firstSeen_.end() || missing == missingSince_.end() || !seenIn_.contains(voter)) return false;
-  return seen->second != base::TimePoint{} && seen->second + times_.replacement >= missing->second;
+void Replica::transferLeadership(net::Outbox& out) const {
+  if (!record_ || !isPrimary()) return;
+  // One alone is asked, as two that campaign at once hold each other up: best one that stays, and that has the write in
+  // progress.
+  const auto preference = [&](const std::string& backup) {
+    return std::pair(!members_.hasAnnouncedRetirement(backup), replication_.isAcknowledgedBy(backup));
+  };
+  const std::string* successor = nullptr;
+  for (const auto& backup : record_->backups) {
+    if (cluster_.controller(backup) == nullptr) continue;
+    if (successor == nullptr || preference(backup) > preference(*successor)) successor = &backup;
+  }
+  if (successor == nullptr) return;
+  if (const auto address = addressOf(*successor))
+    out.push_back({*address, schema::TransferLeadership{self_.voterId, record_->epoch}});
 }
 
-// A record that was decided is told on until its primary is heard of. Those whom it makes primary or backup may have
-// missed it, and nobody else may stand.
-void Replica::spreadRecord(base::TimePoint now, Effects& effects) {
-  if (primaryFresh(now) || now - recordSentAt_ < times_.beat) return;
+// A record that was decided is sent again until its primary is heard from. Those whom it makes primary or backup may
+// have missed it, and nobody else may campaign.
+void Replica::resendRecord(base::TimePoint now, Effects& effects) {
+  if (isPrimaryFresh(now) || now - recordSentAt_ < times_.heartbeatInterval) return;
   recordSentAt_ = now;
   std::set<std::string> concerned(record_->voters.begin(), record_->voters.end());
   concerned.insert(record_->backups.begin(), record_->backups.end());
   concerned.insert(record_->primary);
   if (!concerned.contains(self_.voterId)) return;
-  for (const auto& one : concerned)
-    if (one != self_.voterId) send(one, schema::Decided{*record_}, effects);
-}
-
-void Replica::watchVoters(base::TimePoint now) {
-  const bool firstView = firstSeen_.empty();
-  for (const auto* m : storageNodes(true)) firstSeen_.try_emplace(m->voterId, firstView ? base::TimePoint{} : now);
-  std::erase_if(firstSeen_, [&](const auto& entry) { return controller(entry.first) == nullptr; });
-  for (const auto& voter : record_->voters) {
-    if (const auto* m = controller(voter)) {
-      missingSince_.erase(voter);
-      seenIn_[voter] = m->zone;
-    } else {
-      missingSince_.try_emplace(voter, now);
-    }
-  }
-  const auto former = [&](const auto& entry) { return !base::contains(record_->voters, entry.first); };
-  std::erase_if(missingSince_, former);
-  std::erase_if(seenIn_, former);
+  for (const auto& voterId : concerned)
+    if (voterId != self_.voterId) send(voterId, schema::Decided{*record_}, effects);
 }
 
-void Replica::tick(base::TimePoint now, const ClusterView& around, Effects& effects) {
-  if (now < around.leaseUntil && !leaseHeld(now)) leaseSince_ = now;
-  cluster_ = around;
-  // Leadership rests on the view: without a lease there may be another primary by now.
-  if (!leaseHeld(now) && phase_ != Phase::Idle) stepDown(effects);
-  std::erase_if(retiringAt_, [&](const auto& entry) { return now - entry.second >= kRetiring; });
-  if (retiringSelf_ && now - announcedAt_ >= times_.resend) announceRetiring(now, effects);
-  if (record_ && !relay()) {
-    watchVoters(now);
-    spreadRecord(now, effects);
-    considerCampaign(now, effects);
-  }
-  if (current_) {
-    auto& w = *current_;
-    if (!w.ownDone && now - w.startedAt > times_.writeStuck && !diskBad_) {
-      // The own disk hangs: the backups have what counts, so one of them shall lead.
-      diskBad_ = true;
-      campaignAfter_ = now + kDiskRest;
-      transferLeadership(effects.out);
-      stepDown(effects);
-    } else if (now - w.startedAt > times_.writeStuck) {
-      for (const auto& backup : record_->backups)
-        if (!w.copied.contains(backup)) silentAt_[backup] = now;
-    }
-    if (current_ && now - current_->sentAt >= times_.resend) sendCopies(now, effects);
-    finishWrite(now, effects);  // held back if the lease had run out for a moment
-  }
-  if (diskBad_ && now >= campaignAfter_) diskBad_ = false;
-  while (!orders_.empty() && now - orders_.front().arrivedAt > times_.orderLife) {
-    effects.answers.push_back({orders_.front().order.call, 503, "not finished in time", {}});
-    orders_.pop_front();
-  }
-  for (const auto& queued : pendingAnswers_.takeOlderThan(now - times_.orderLife))
-    effects.answers.push_back({queued.order.call, 503, "the voters do not confirm", {}});
-  nextOrder(now, effects);
-  askForConfirmation(now, effects);
-  if (active(now) && now - beatSentAt_ >= times_.beat) beat(now, effects);
-  drainLocal(now, effects);
+void Replica::retire(base::TimePoint now, Effects& effects) {
+  if (isObserver()) return;
+  members_.markSelfRetiring();
+  announceRetirement(now, effects);
 }
 
-void Replica::receive(const schema::Message& message, const settings::Endpoint& from, base::TimePoint now,
-                      Effects& effects) {
-  handle(message, from, now, effects);
-  drainLocal(now, effects);
-}
+bool Replica::mayRetire(base::TimePoint now) const { return isObserver() || !record_ || placement(now).mayRetire(); }
 
-void Replica::handle(const schema::Message& message, const settings::Endpoint& from, base::TimePoint now,
-                     Effects& effects) {
-  std::visit(
-      [&](const auto& m) {
-        if constexpr (requires { on(m, now, effects); }) {
-          if constexpr (requires { m.from; })
-            if (from.port != 0) lastAddress_[m.from] = from;
-          on(m, now, effects);
-        }
-      },
-      message);
+// To all that may lead or take the place, so that each also knows who cannot.
+void Replica::announceRetirement(base::TimePoint now, Effects& effects) {
+  retirementSentAt_ = now;
+  for (const auto* node : cluster_.storageNodesExcept(self_.voterId))
+    effects.out.push_back({{node->ip, node->port}, schema::Retiring{self_.voterId}});
+  transferLeadership(effects.out);
 }
 
-void Replica::drainLocal(base::TimePoint now, Effects& effects) {
-  while (!local_.empty()) {
-    const auto message = std::move(local_.front());
-    local_.pop_front();
-    handle(message, {}, now, effects);
-  }
+void Replica::on(const schema::Retiring& m, base::TimePoint now, Effects&) { members_.markRetiring(m.from, now); }
+
+void Replica::on(const schema::TransferLeadership& m, base::TimePoint now, Effects& effects) {
+  if (!record_ || m.epoch != record_->epoch || m.from != record_->primary || !isBackup()) return;
+  primary_.onTransferRequest();
+  considerCampaign(now, effects);
 }
 
-void Replica::synced(std::uint64_t token, bool ok, base::TimePoint now, Effects& effects) {
-  if (const auto found = replies_.find(token); found != replies_.end()) {
-    auto reply = std::move(found->second);
-    replies_.erase(found);
-    if (ok) send(reply.to, std::move(reply.message), effects);
-  }
-  if (candidacy_ && candidacy_->sealToken == token && ok) {
-    candidacy_->sealed = true;
-    considerPreparing(now, effects);
-  }
-  if (current_ && current_->token == token) {
-    if (ok) {
-      current_->ownDone = true;
-      finishWrite(now, effects);
-    } else {
-      diskBad_ = true;
-      campaignAfter_ = now + kDiskRest;
-      transferLeadership(effects.out);
-      stepDown(effects);
-    }
+void Replica::on(const schema::PrimaryHeartbeat& m, base::TimePoint now, Effects& effects) {
+  if (record_ && m.record.epoch < record_->epoch) {
+    send(m.from, schema::Decided{*record_}, effects);
+    return;
   }
-  drainLocal(now, effects);
+  adopt(m.record, now, effects);
+  if (m.from == record_->primary) primary_.onHeartbeat(m.version, now);
 }
 
 // The agreement on the next record: one decree for each slot, ballots, the highest accepted value is carried on.
@@ -653,68 +421,48 @@
     send(m.from, schema::Decided{*record_}, effects);
     return;
   }
-  if (m.slot != record_->epoch + 1 || !base::contains(record_->voters, self_.voterId)) return;
-  if (vote_.slot != m.slot) vote_ = {m.slot, 0, 0, {}, vote_.sealed};
-  if (m.ballot < vote_.promised) {
-    // Tells the candidate what it has to pass.
-    send(m.from, schema::Promise{self_.voterId, m.slot, vote_.promised, 0, {}}, effects);
-    return;
-  }
-  vote_.promised = m.ballot;
-  saveVote(Reply{m.from, schema::Promise{self_.voterId, m.slot, m.ballot, vote_.acceptedBallot, vote_.accepted}},
-           effects);
+  if (m.slot != record_->epoch + 1 || !isVoter()) return;
+  const bool promised = acceptor_.promise(m.slot, m.ballot);
+  const auto& vote = acceptor_.vote();
+  if (promised)
+    saveVote(Reply{m.from, schema::Promise{self_.voterId, m.slot, m.ballot, vote.acceptedBallot, vote.accepted}},
+             effects);
+  else  // tells the candidate which ballot it has to pass
+    send(m.from, schema::Promise{self_.voterId, m.slot, vote.promised, 0, {}}, effects);
 }
 
 void Replica::on(const schema::Promise& m, base::TimePoint now, Effects& effects) {
-  if (!candidacy_ || candidacy_->step != Candidacy::Step::Preparing || m.slot != candidacy_->target.epoch) return;
-  auto& c = *candidacy_;
-  if (m.ballot > c.ballot) {
-    vote_.promised = std::max(vote_.promised, m.ballot);  // the next try goes above it
-    return;
-  }
-  if (m.ballot != c.ballot) return;
-  c.promised.insert(m.from);
-  if (m.acceptedBallot > c.bestBallot) {
-    c.bestBallot = m.acceptedBallot;
-    c.value = m.accepted;
-  }
-  if (!majority(c.promised, record_->voters)) return;
-  c.step = Candidacy::Step::Accepting;
-  push(now, effects);
+  if (!campaign_ || !campaign_->awaitsPromise(m.slot)) return;
+  if (m.ballot > campaign_->ballot()) acceptor_.observeBallot(m.ballot);
+  if (m.ballot != campaign_->ballot()) return;
+  campaign_->addPromise(m);
+  if (!campaign_->isPromised(record_->voters)) return;
+  campaign_->startAccepting();
+  sendCampaign(now, effects);
 }
 
 void Replica::on(const schema::Accept& m, base::TimePoint now, Effects& effects) {
-  if (relay()) return;
+  if (isObserver()) return;
   if (record_ && m.slot <= record_->epoch) {
     send(m.from, schema::Decided{*record_}, effects);
     return;
   }
-  if (vote_.slot > m.slot) return;
-  if (vote_.slot != m.slot) vote_ = {m.slot, 0, 0, {}, vote_.sealed};
-  if (m.ballot < vote_.promised) return;
-  vote_.promised = vote_.acceptedBallot = m.ballot;
-  vote_.accepted = m.record;
-  acceptedAt_ = now;
-  saveVote(Reply{m.from, schema::Accepted{self_.voterId, m.slot, m.ballot}}, effects);
+  if (acceptor_.accept(m.slot, m.ballot, m.record, now))
+    saveVote(Reply{m.from, schema::Accepted{self_.voterId, m.slot, m.ballot}}, effects);
 }
 
 void Replica::on(const schema::Accepted& m, base::TimePoint now, Effects& effects) {
-  if (!candidacy_ || candidacy_->step != Candidacy::Step::Accepting || m.slot != candidacy_->target.epoch ||
-      m.ballot != candidacy_->ballot)
-    return;
-  auto& c = *candidacy_;
-  c.accepted.insert(m.from);
-  // While voters change, of those that are to come as well: the next record asks them.
-  if (!majority(c.accepted, record_->voters) || !majority(c.accepted, c.value.voters)) return;
-  const auto decided = c.value;
-  for (const auto& m2 : cluster_.controllers)
-    if (m2.voterId != self_.voterId) effects.out.push_back({{m2.ip, m2.port}, schema::Decided{decided}});
+  if (!campaign_ || !campaign_->awaitsAccepted(m.slot, m.ballot)) return;
+  campaign_->addAccepted(m.from);
+  if (!campaign_->isDecided(record_->voters)) return;
+  const auto decided = campaign_->proposal();
+  sendToControllers(schema::Decided{decided}, effects);
   adopt(decided, now, effects);
 }
 
 void Replica::on(const schema::Decided& m, base::TimePoint now, Effects& effects) { adopt(m.record, now, effects); }
 
-// Copies of the state.
+// Replication of the state.
 
 void Replica::on(const schema::ReplicateState& m, base::TimePoint now, Effects& effects) {
   const auto refuse = [&] {
@@ -726,245 +474,151 @@
     return;
   }
   adopt(m.record, now, effects);
-  if (relay() || m.from == self_.voterId || !record_) return;
-  if (record_->primary == self_.voterId && !base::contains(record_->backups, m.from)) return;
+  if (isObserver() || m.from == self_.voterId || !record_) return;
+  if (isPrimary() && !base::contains(record_->backups, m.from)) return;
+  // A candidate installs what it has; another backup may hold a later write.
   if (!m.install) {
-    if (m.record.epoch <= vote_.sealed || m.from != record_->primary || !isBackup()) {
+    if (acceptor_.isSealed(m.record.epoch) || m.from != record_->primary || !isBackup()) {
       refuse();
       return;
     }
-    if (state_ && m.state.version < state_->version) return;  // overtaken by a later copy
+    if (replication_.isOlderThanHeld(m.state)) return;
   }
-  // A candidate installs what it has; another backup may hold a later write. An older one never takes its place: it may
-  // come late, when the later one has been acknowledged. What is held is synced anew before it is said to be.
-  if (!state_ || !(m.state.version < state_->version)) state_ = m.state;
-  const auto token = write(Slot::State, net::encodeControlState(*state_), effects);
+  replication_.take(m.state);
+  // What is held is synced anew before it is acknowledged.
+  const auto token = write(Slot::State, net::encodeControlState(*state()), effects);
   replies_[token] = {m.from, schema::ReplicateAck{self_.voterId, m.token, m.record.epoch, true}};
 }
 
 void Replica::on(const schema::ReplicateAck& m, base::TimePoint now, Effects& effects) {
   if (!m.ok) return;
-  if (candidacy_ && candidacy_->step == Candidacy::Step::Installing && m.token == candidacy_->installToken) {
-    candidacy_->installed.insert(m.from);
+  if (campaign_ && campaign_->awaitsInstallation(m.token)) {
+    campaign_->addInstalled(m.from);
     considerPreparing(now, effects);
     return;
   }
-  if (current_ && current_->token == m.token && record_ && m.epoch == record_->epoch) {
-    current_->copied.insert(m.from);
-    silentAt_.erase(m.from);
-    finishWrite(now, effects);
+  if (replication_.isInProgress(m.token) && record_ && m.epoch == record_->epoch) {
+    replication_.addAcknowledgement(m.from);
+    members_.markResponsive(m.from);
+    considerPublishing(now, effects);
   }
 }
 
 void Replica::startWrite(schema::ControlState state, std::optional<QueuedOrder> order, base::TimePoint now,
                          Effects& effects) {
-  state_ = std::move(state);
-  Write w;
-  w.state = *state_;
-  w.order = std::move(order);
-  w.startedAt = now;
-  w.token = write(Slot::State, net::encodeControlState(*state_), effects);
-  current_ = std::move(w);
-  sendCopies(now, effects);
+  const auto token = write(Slot::State, net::encodeControlState(state), effects);
+  replication_.begin(std::move(state), token, std::move(order), now);
+  sendAll(replication_.messages(self_.voterId, *record_, now), effects);
 }
 
-void Replica::sendCopies(base::TimePoint now, Effects& effects) {
-  current_->sentAt = now;
-  for (const auto& backup : record_->backups)
-    if (!current_->copied.contains(backup))
-      send(backup, schema::ReplicateState{self_.voterId, current_->token, false, *record_, current_->state}, effects);
+void Replica::checkWrite(base::TimePoint now, Effects& effects) {
+  if (replication_.age(now) > times_.writeTimeout) {
+    if (!replication_.isOnOwnDisk() && !diskFailing_) {
+      restDisk(now, effects);
+      return;
+    }
+    for (const auto& backup : replication_.unacknowledged(record_->backups)) members_.markUnresponsive(backup, now);
+  }
+  if (replication_.sinceSent(now) >= times_.resendInterval)
+    sendAll(replication_.messages(self_.voterId, *record_, now), effects);
+  considerPublishing(now, effects);  // held back if the lease had run out for a moment
 }
 
-void Replica::beat(base::TimePoint now, Effects& effects) {
-  beatSentAt_ = now;
-  for (const auto& m : cluster_.controllers)
-    if (m.voterId != self_.voterId)
-      effects.out.push_back({{m.ip, m.port}, schema::PrimaryHeartbeat{self_.voterId, *record_, published_->version}});
+void Replica::sendHeartbeats(base::TimePoint now, Effects& effects) {
+  heartbeatSentAt_ = now;
+  sendToControllers(schema::PrimaryHeartbeat{self_.voterId, *record_, published()->version}, effects);
 }
 
 // In force only when it is on the primary's and on every backup's disk: then shown, then acknowledged. This needs no
 // confirmation by the voters: only the primary or a backup of this epoch can lead the next, and each of them had the
-// write before it stood for that, as after standing it takes and makes no more copies in this epoch. So whether or not
-// a later record has been decided by now, its primary holds the write. (docs/control/orders.md)
-void Replica::finishWrite(base::TimePoint now, Effects& effects) {
-  if (!current_ || !current_->ownDone || !copiesWhole(current_->copied) || !leaseHeld(now)) return;
-  published_ = current_->state;
+// write before it campaigned for that, as after that it makes and takes no more replicas in this epoch. So whether or
+// not a later record has been decided by now, its primary holds the write. (docs/control/orders.md)
+void Replica::considerPublishing(base::TimePoint now, Effects& effects) {
+  if (!replication_.inProgress() || !replication_.isComplete(record_->backups) || !leaseHeld(now)) return;
+  const auto order = replication_.publish();
   if (phase_ == Phase::Activating) {
     phase_ = Phase::Active;
     activeSince_ = now;
   }
-  if (current_->order) effects.answers.push_back({current_->order->order.call, 200, "{}", {}});
-  current_.reset();
-  // At once: until they have heard of it, the others send operators away and vouch for nothing.
-  beat(now, effects);
-  nextOrder(now, effects);
+  if (order) effects.answers.push_back({order->order.call, 200, "{}", {}});
+  // At once: until they have heard of it, the others send operators away and confirm nothing.
+  sendHeartbeats(now, effects);
+  processOrders(now, effects);
 }
 
-Answer Replica::refusal(std::uint64_t call, base::TimePoint now) const {
+// Orders.
+
+Answer Replica::redirectOrReject(std::uint64_t call, base::TimePoint now) const {
   const auto primary = primaryAddress();
-  if (primary && primaryFresh(now) && record_->primary != self_.voterId) return {call, 307, "", *primary};
+  if (primary && isPrimaryFresh(now) && !isPrimary()) return {call, 307, "", *primary};
   return {call, 503, "no primary at the moment", {}};
 }
 
-void Replica::order(Order order, base::TimePoint now, Effects& effects) {
-  const bool mine = record_ && record_->primary == self_.voterId &&
-                    (phase_ == Phase::Active || phase_ == Phase::Activating || phase_ == Phase::Campaigning);
-  if (!mine || !leaseHeld(now) || orders_.size() + pendingAnswers_.size() >= kOrdersWaiting) {
-    effects.answers.push_back(refusal(order.call, now));
+void Replica::submit(Order order, base::TimePoint now, Effects& effects) {
+  const bool leads = record_ && isPrimary() && phase_ != Phase::Idle;
+  if (!leads || !leaseHeld(now) || orders_.isFull()) {
+    effects.answers.push_back(redirectOrReject(order.call, now));
     return;
   }
-  orders_.push_back({std::move(order), now});
-  nextOrder(now, effects);
-  drainLocal(now, effects);
+  orders_.push(std::move(order), now);
+  processOrders(now, effects);
+  drainLoopback(now, effects);
 }
 
-void Replica::forget(std::uint64_t call) {
-  std::erase_if(orders_, [&](const auto& queued) { return queued.order.call == call; });
-  pendingAnswers_.forget(call);
+// Before anything was acknowledged there is time for the machines that are still starting. And as long as the group's
+// view rests on the voters before, it does not tolerate the loss of as many as this record's voters.
+bool Replica::awaitsPlacement(base::TimePoint now) const {
+  const bool untouched = state()->revision == 0 && state()->evacuated.empty();
+  const bool incomplete = (untouched && !isFullyReplicated()) || cluster_.voters != record_->voters;
+  return incomplete && now - activeSince_ < times_.placementWait;
 }
 
-// Checks an order against the newest state. An answer when there is nothing to write, else the state to write.
-std::optional<Answer> Replica::prepare(const Order& order, schema::ControlState& next) const {
-  next = *state_;
-  ++next.version.sequence;
-  if (order.kind == OrderKind::Evacuate || order.kind == OrderKind::EndEvacuation) {
-    const bool there = base::contains(next.evacuated, order.body);
-    if (there == (order.kind == OrderKind::Evacuate)) return Answer{order.call, 200, "{}", {}};
-    if (there)
-      std::erase(next.evacuated, order.body);
-    else
-      next.evacuated.push_back(order.body);
-    return std::nullopt;
-  }
-  if (order.kind == OrderKind::DeclareRollout) return prepareRollout(order, rollout::Change::Declare, next);
-  if (order.kind == OrderKind::AdvanceRollout) return prepareRollout(order, rollout::Change::Advance, next);
-  if (order.kind == OrderKind::WithdrawRollout) return prepareRollout(order, rollout::Change::Withdraw, next);
-  return prepareConfiguration(order, next);
-}
-
-std::optional<Answer> Replica::prepareConfiguration(const Order& order, schema::ControlState& next) const {
-  const bool update = order.kind == OrderKind::Update;
-  const auto digest = orderDigest(update ? "update" : "replace", order.baseVersion, order.body);
-  if (order.baseVersion != next.revision) {
-    const auto recalled = order.baseVersion > next.revision
-                              ? Recall::NotTaken
-                              : recall(next.takenOrders, kTakenOrdersKept, order.baseVersion, digest);
-    if (recalled == Recall::Taken) return Answer{order.call, 200, "{}", {}};
-    if (recalled == Recall::Forgotten)
-      return Answer{order.call, 503, "built on a version too old to tell whether this was taken", {}};
-    return Answer{order.call, 412, "the current revision is " + std::to_string(next.revision), {}};
-  }
-  std::string document = order.body;
-  if (update) {
-    if (next.document.empty()) return Answer{order.call, 400, "update: there is no configuration yet", {}};
-    auto merged = applyUpdate(next.document, order.body);
-    if (const auto* bad = base::errorIn(merged)) return Answer{order.call, 400, bad->what, {}};
-    document = std::get<std::string>(std::move(merged));
-  }
-  auto parsed = parseConfiguration(document);
-  if (const auto* bad = base::errorIn(parsed)) return Answer{order.call, 400, bad->what, {}};
-  const auto revision = std::get<Configuration>(parsed).revision;
-  if (revision <= next.revision)
-    return Answer{order.call, 400, "revision: not above the current one, " + std::to_string(next.revision), {}};
-  next.revision = revision;
-  next.document = std::move(document);
-  remember(next.takenOrders, kTakenOrdersKept, order.baseVersion, digest);
-  return std::nullopt;
-}
-
-// Rollouts stand beside the operator's document, which is read back as it was sent.
-std::optional<Answer> Replica::prepareRollout(const Order& order, rollout::Change kind,
-                                              schema::ControlState& next) const {
-  const auto digest =
-      orderDigest("rollout/" + std::to_string(static_cast<int>(kind)) + "/" + order.service, 0, order.body);
-  if (next.document.empty()) return Answer{order.call, 409, "there is no configuration yet", {}};
-  auto parsed = parseConfiguration(next.document);
-  const auto known = [&](const std::string& service) {
-    return base::errorIn(parsed) == nullptr && std::get<Configuration>(parsed).service(service) != nullptr;
-  };
-  auto changed = rollout::change(kind, order.service, order.body, {next.rollouts, order.runners, known, digest});
-  if (const auto* refused = std::get_if<rollout::Refusal>(&changed))
-    return Answer{order.call, refused->status, refused->what, {}};
-  if (std::get<0>(changed) == next.rollouts) return Answer{order.call, 200, "{}", {}};
-  next.rollouts = std::get<0>(std::move(changed));
-  return std::nullopt;
-}
-
-void Replica::nextOrder(base::TimePoint now, Effects& effects) {
-  while (active(now) && !current_ && !candidacy_ && !orders_.empty()) {
-    // Before anything was acknowledged there is time for the machines that are still starting. And as long as the
-    // group's view rests on the voters before, it does not bear the loss of as many as this record's voters.
-    const bool untouched = state_->revision == 0 && state_->evacuated.empty();
-    const bool wanting = (untouched && !complete()) || cluster_.voters != record_->voters;
-    if (wanting && now - activeSince_ < times_.gather && !isReading(orders_.front().order.kind)) return;
-    auto queued = std::move(orders_.front());
-    orders_.pop_front();
-    schema::ControlState next;
-    auto answer = isReading(queued.order.kind) ? describe(queued.order) : prepare(queued.order, next);
-    if (!answer)
-      startWrite(std::move(next), std::move(queued), now, effects);
-    else if (isClear(*answer))
-      pendingAnswers_.add(std::move(queued), std::move(*answer));
+void Replica::processOrders(base::TimePoint now, Effects& effects) {
+  while (active(now) && !replication_.inProgress() && !campaign_ && orders_.hasWaiting()) {
+    const bool reads = isReading(orders_.front().kind);
+    if (!reads && awaitsPlacement(now)) return;
+    auto queued = orders_.takeFront();
+    auto outcome = reads ? answerRead(queued.order, *published()) : processOrder(queued.order, *state());
+    if (auto* next = std::get_if<schema::ControlState>(&outcome)) {
+      startWrite(std::move(*next), std::move(queued), now, effects);
+      continue;
+    }
+    auto& answer = std::get<Answer>(outcome);
+    if (isClear(answer))
+      orders_.unconfirmed().add(std::move(queued), std::move(answer));
     else
-      effects.answers.push_back(std::move(*answer));
+      effects.answers.push_back(std::move(answer));
   }
-  askForConfirmation(now, effects);
-}
-
-Answer Replica::describe(const Order& order) const {
-  if (order.kind == OrderKind::DescribeRollouts) return {order.call, 200, rollout::describe(published_->rollouts), {}};
-  if (published_->document.empty()) return {order.call, 404, "no configuration yet", {}};
-  return {order.call, 200, published_->document, {}};
+  requestConfirmation(now, effects);
 }
 
-// The backups' word would do as well, since one of them would have had to stand, but any of them may be the one that is
-// silent.
-void Replica::askForConfirmation(base::TimePoint now, Effects& effects) {
+// The backups' confirmation would do as well, since one of them would have had to campaign, but any of them may be the
+// one that does not answer.
+void Replica::requestConfirmation(base::TimePoint now, Effects& effects) {
   if (!active(now)) return;
-  const auto round = pendingAnswers_.roundDue(now, times_.resend);
+  const auto round = orders_.unconfirmed().roundDue(now, times_.resendInterval);
   if (!round) return;
-  if (accepts(record_->epoch)) pendingAnswers_.confirm(self_.voterId, *round);
+  if (confirms(record_->epoch)) orders_.unconfirmed().confirm(self_.voterId, *round);
   for (const auto& voter : record_->voters)
     if (voter != self_.voterId) send(voter, schema::ConfirmEpoch{self_.voterId, *round, record_->epoch}, effects);
-  considerAnswering(now, effects);
+  answerConfirmed(now, effects);
 }
 
-bool Replica::accepts(std::uint64_t epoch) const {
-  return record_ && record_->epoch == epoch && !(vote_.slot > epoch && vote_.acceptedBallot != 0);
+void Replica::answerConfirmed(base::TimePoint now, Effects& effects) {
+  if (!active(now)) return;
+  for (auto& answer : orders_.unconfirmed().takeConfirmed(record_->voters))
+    effects.answers.push_back(std::move(answer));
+  requestConfirmation(now, effects);
 }
 
 void Replica::on(const schema::ConfirmEpoch& m, base::TimePoint, Effects& effects) {
-  if (accepts(m.epoch)) send(m.from, schema::EpochConfirmed{self_.voterId, m.token, m.epoch}, effects);
+  if (confirms(m.epoch)) send(m.from, schema::EpochConfirmed{self_.voterId, m.token, m.epoch}, effects);
 }
 
 void Replica::on(const schema::EpochConfirmed& m, base::TimePoint now, Effects& effects) {
   if (!record_ || m.epoch != record_->epoch) return;
-  pendingAnswers_.confirm(m.from, m.token);
-  considerAnswering(now, effects);
-}
-
-void Replica::considerAnswering(base::TimePoint now, Effects& effects) {
-  if (!active(now)) return;
-  for (auto& answer : pendingAnswers_.takeConfirmed(record_->voters)) effects.answers.push_back(std::move(answer));
-  askForConfirmation(now, effects);
-}
-
-void Replica::on(const schema::PrimaryHeartbeat& m, base::TimePoint now, Effects& effects) {
-  if (record_ && m.record.epoch < record_->epoch) {
-    send(m.from, schema::Decided{*record_}, effects);
-    return;
-  }
-  adopt(m.record, now, effects);
-  if (m.from != record_->primary) return;
-  beatSeen_ = true;
-  beatAt_ = now;
-  announcedVersion_ = m.version;
-}
-
-void Replica::on(const schema::TransferLeadership& m, base::TimePoint now, Effects& effects) {
-  if (!record_ || m.epoch != record_->epoch || m.from != record_->primary || !isBackup()) return;
-  transferRequested_ = true;
-  considerCampaign(now, effects);
+  orders_.unconfirmed().confirm(m.from, m.token);
+  answerConfirmed(now, effects);
 }
 
 }  // namespace indigohill::control
--- a/src/control/replica.hpp
+++ b/src/control/replica.hpp
@@ -3,66 +3,47 @@
 #include <map>
 #include <optional>
 #include <random>
-#include <set>
 #include <string>
 #include <vector>
 
 #include "base/lists.hpp"
 #include "base/time.hpp"
-#include "control/configuration.hpp"
+#include "control/campaign.hpp"
+#include "control/cluster_view.hpp"
+#include "control/effects.hpp"
+#include "control/epoch_acceptor.hpp"
+#include "control/member_tracker.hpp"
 #include "control/order.hpp"
-#include "control/pending_answers.hpp"
+#include "control/order_queue.hpp"
+#include "control/placement_policy.hpp"
+#include "control/primary_monitor.hpp"
+#include "control/replica_times.hpp"
+#include "control/state_replication.hpp"
 #include "net/codec.hpp"
-#include "rollout/orders.hpp"
 #include "schema/messages.hpp"
 
-// The control state of one controller: primary and backups, the epoch records that the voters witness, and the
-// operator's orders. A pure state machine; disk writes are asked for and reported back as done.
+// The control state of one controller. A primary replicates each change to the backups of its epoch before it answers
+// the operator; the voters agree on one record for each epoch, which names primary, backups and voters.
+//
+// A pure state machine: messages, ticks and finished disk writes go in with the time, effects come out. It joins
+//   EpochAcceptor     the voter's side of the agreement on records,
+//   Campaign          the candidate's side,
+//   StateReplication  the state held, and its write to the backups,
+//   OrderQueue        the operators' orders (judged by order_processor.hpp),
+//   PrimaryMonitor    whether the primary is there,
+//   MemberTracker     what was seen of the other controllers,
+//   PlacementPolicy   the choice of voters and backups.
+// It is copyable, as the model checker copies it. docs/control has the arguments for its safety.
 namespace indigohill::control {
 
-// Keys of what is kept on disk.
-enum class Slot : std::uint8_t { Record = 1, Vote = 2, State = 3, Floor = 4, Identity = 5 };
-
-struct DiskWrite {
-  std::uint64_t token = 0;
-  Slot slot = Slot::Record;
-  std::string bytes;
-};
-
-struct Effects {
-  net::Outbox out;
-  std::vector<DiskWrite> writes;
-  std::vector<Answer> answers;
-  std::vector<std::string> notes;  // for the log
-};
-
-// What of the view the control state rests on.
-struct ClusterView {
-  std::vector<schema::Member> controllers;
-  std::vector<std::string> voters;  // that the view rests on
-  base::TimePoint leaseUntil{};     // this daemon may act on the view until then
-};
-
-struct ReplicaTimes {
-  base::Millis beat{400};
-  base::Millis resend{250};
-  base::Millis retry{900};         // a candidacy without an outcome starts again after this and a random part
-  base::Millis quiet{2000};        // a primary in the view that shows no beat for so long is taken over
-  base::Millis writeStuck{900};    // a write that a backup or the disk does not finish in this time
-  base::Millis orderLife{3500};    // an order not finished by then is answered 503
-  base::Millis exchange{3000};     // a voter missing for so long is exchanged
-  base::Millis replacement{3000};  // a machine that came no longer than this before a voter was missed replaces it
-  base::Millis turn{500};     // of several backups that would take over, each waits so much longer than the one before
-  base::Millis gather{1500};  // an order waits so long for the machines that faultTolerance calls for
-};
-
 class Replica {
  public:
   struct Self {
-    std::string voterId;  // empty: a relay, which has no disk and takes no part in the agreement
+    std::string voterId;  // empty: an observer, which keeps nothing on disk and takes no part in the agreement
     settings::Endpoint address;
-    std::size_t faultTolerance = 1;  // machines that may be lost at once with their disks (faultTolerance)
+    std::size_t faultTolerance = 1;  // machines that may be lost at once with their disks
   };
+  // What the disk held.
   struct Loaded {
     std::optional<schema::EpochRecord> record;
     std::optional<schema::Vote> vote;
@@ -71,114 +52,103 @@
 
   Replica(Self self, Loaded loaded, ReplicaTimes times, std::uint64_t seed);
 
-  // The record that all seeds of the very first start arrive at without a word.
+  // The record of epoch 1, at which all seeds of the very first start arrive without a message.
   static schema::EpochRecord firstRecord(std::vector<std::string> voters);
-  // Whether everything that faultTolerance calls for stands: 2f+1 voters and f backups.
-  bool complete() const;
 
-  void tick(base::TimePoint now, const ClusterView& around, Effects& effects);
+  void tick(base::TimePoint now, const ClusterView& cluster, Effects& effects);
   void receive(const schema::Message& message, const settings::Endpoint& from, base::TimePoint now, Effects& effects);
-  void synced(std::uint64_t token, bool ok, base::TimePoint now, Effects& effects);
-  void order(Order order, base::TimePoint now, Effects& effects);
-  // The caller has gone: its order is not carried out if that has not begun.
-  void forget(std::uint64_t call);
-  // Leaving in order: asks, with each tick, to be exchanged as primary, backup and voter.
+  // A write of `Effects::writes` has ended. Not ok: it may be on the disk all the same, or come there later.
+  void onDiskWrite(std::uint64_t token, bool ok, base::TimePoint now, Effects& effects);
+  // An operator's order; its answer is among the effects of this call or of a later one.
+  void submit(Order order, base::TimePoint now, Effects& effects);
+  // The caller has gone: its order is dropped if it has not been begun.
+  void cancel(std::uint64_t call) { orders_.forget(call); }
+
+  // Graceful shutdown: asks, with each tick, to be replaced as primary, backup and voter.
   void retire(base::TimePoint now, Effects& effects);
-  // Whether the process may end without costing a copy or a vote: it has neither, or nobody can take its place.
-  bool mayLeave(base::TimePoint now) const;
-  // Leaving in order, or a disk in trouble: a backup that answers is asked to take over.
-  void transferLeadership(net::Outbox& out);
+  // Whether the process may end without costing a replica or a vote: it has neither, or nobody can take its place.
+  bool mayRetire(base::TimePoint now) const;
+  // Asks a backup to take over from this primary, for a shutdown or a failing disk.
+  void transferLeadership(net::Outbox& out) const;
 
   // Whether this is the primary, has activated its epoch and holds the lease at this moment.
   bool active(base::TimePoint now) const { return phase_ == Phase::Active && leaseHeld(now); }
+  // Whether there is all that the fault tolerance f calls for: 2f+1 voters and f backups.
+  bool isFullyReplicated() const;
   const std::optional<schema::EpochRecord>& record() const { return record_; }
   // The next record, as accepted by this voter and not known to be decided.
-  const schema::EpochRecord* accepted() const {
-    return vote_.acceptedBallot != 0 && (!record_ || vote_.slot > record_->epoch) ? &vote_.accepted : nullptr;
-  }
+  const schema::EpochRecord* accepted() const { return acceptor_.acceptedAfter(record_ ? record_->epoch : 0); }
   // What is in force, at the primary alone.
-  const std::optional<schema::ControlState>& published() const { return published_; }
-  const std::optional<schema::ControlState>& state() const { return state_; }
-  // Whether the primary has been heard of lately (or is this one).
-  bool primaryFresh(base::TimePoint now) const;
+  const std::optional<schema::ControlState>& published() const { return replication_.published(); }
+  const std::optional<schema::ControlState>& state() const { return replication_.state(); }
+  // Whether the primary has been heard from lately (or is this one).
+  bool isPrimaryFresh(base::TimePoint now) const;
   std::optional<settings::Endpoint> primaryAddress() const;
-  schema::StateVersion primaryVersion() const { return announcedVersion_; }
   const std::string& voterId() const { return self_.voterId; }
   // Whether this voter has accepted no record after that of `epoch`.
-  bool accepts(std::uint64_t epoch) const;
+  bool confirms(std::uint64_t epoch) const;
   // The same for two replicas that will act alike from `now` on; for the model checker.
   std::uint64_t fingerprint(base::TimePoint now) const;
 
  private:
-  enum class Phase { Idle, Campaigning, Activating, Active };
-  struct Candidacy {
-    schema::EpochRecord target, value;
-    std::uint64_t ballot = 0, bestBallot = 0, installToken = 0, sealToken = 0;
-    enum class Step { Installing, Preparing, Accepting } step = Step::Installing;
-    bool sealed = false;              // the seal of the present epoch is on disk here
-    std::set<std::string> installed;  // that have the whole state on disk
-    std::set<std::string> promised, accepted;
-    base::TimePoint startedAt, sentAt;
-    base::Millis patience{0};
-  };
-  struct Write {
-    schema::ControlState state;
-    std::uint64_t token = 0;
-    bool ownDone = false;
-    std::set<std::string> copied;
-    base::TimePoint startedAt, sentAt;
-    std::optional<QueuedOrder> order;  // none at activation
+  enum class Phase {
+    Idle,
+    Campaigning,  // for a record that would make this replica primary
+    Activating,   // elected; the state is being replicated under the new epoch
+    Active
   };
-  struct Reply {
-    std::string to;
-    schema::Message message;
-  };
-  bool relay() const { return self_.voterId.empty(); }
+  // A message that is sent once a disk write is synced.
+  using Reply = PeerMessage;
+
+  bool isObserver() const { return self_.voterId.empty(); }
+  bool isPrimary() const { return record_->primary == self_.voterId; }
   bool isBackup() const { return base::contains(record_->backups, self_.voterId); }
-  bool copiesWhole(const std::set<std::string>& done) const;
-  // Of the view's controllers those with a disk; `self` says whether this one is counted.
-  std::vector<const schema::Member*> storageNodes(bool self) const;
-  bool silent(const std::string& voterId, base::TimePoint now) const;
-  bool anySilent(base::TimePoint now) const;
-  bool retiring(const std::string& voterId, base::TimePoint now) const;
-  bool anyRetiring(base::TimePoint now) const;
-  void announceRetiring(base::TimePoint now, Effects& effects);
-  bool inOneZone(const std::vector<std::string>& copies) const;
-  void chooseVoters(schema::EpochRecord& target, base::TimePoint now) const;
-  std::vector<std::string> chooseBackups(std::size_t count, const std::set<std::string>* among,
-                                         base::TimePoint now) const;
-  void considerPreparing(base::TimePoint now, Effects& effects);
-  bool leaseHeld(base::TimePoint now) const { return now < cluster_.leaseUntil; }
-  void askForConfirmation(base::TimePoint now, Effects& effects);
-  void considerAnswering(base::TimePoint now, Effects& effects);
-  void requeue();
-  const schema::Member* controller(const std::string& voterId) const;
+  bool isVoter() const { return base::contains(record_->voters, self_.voterId); }
+  bool leaseHeld(base::TimePoint now) const { return cluster_.leaseHeld(now); }
+  PlacementPolicy placement(base::TimePoint now) const;
+  bool anyBackupUnresponsive(base::TimePoint now) const;
+  bool anyBackupRetiring(base::TimePoint now) const;
+
+  // Messages and disk.
   std::optional<settings::Endpoint> addressOf(const std::string& voterId) const;
   void send(const std::string& to, schema::Message message, Effects& effects);
+  void sendAll(std::vector<PeerMessage> messages, Effects& effects);
+  void sendToControllers(const schema::Message& message, Effects& effects) const;
   void handle(const schema::Message& message, const settings::Endpoint& from, base::TimePoint now, Effects& effects);
-  void drainLocal(base::TimePoint now, Effects& effects);
+  void drainLoopback(base::TimePoint now, Effects& effects);
   std::uint64_t write(Slot slot, std::string bytes, Effects& effects);
   void saveVote(std::optional<Reply> reply, Effects& effects);
-  void adopt(const schema::EpochRecord& record, base::TimePoint now, Effects& effects);
-  void campaign(base::TimePoint now, Effects& effects, bool finishing = false);
-  void considerFinishing(base::TimePoint now, Effects& effects);
-  bool chooseNextRecord(schema::EpochRecord& target, base::TimePoint now) const;
-  void push(base::TimePoint now, Effects& effects);
+
+  // Leadership.
   void considerCampaign(base::TimePoint now, Effects& effects);
-  void watchVoters(base::TimePoint now);
-  bool newcomerFor(const std::string& voter, const schema::Member& candidate) const;
-  void spreadRecord(base::TimePoint now, Effects& effects);
-  void startWrite(schema::ControlState state, std::optional<QueuedOrder> order, base::TimePoint now, Effects& effects);
-  void sendCopies(base::TimePoint now, Effects& effects);
-  void beat(base::TimePoint now, Effects& effects);
-  void finishWrite(base::TimePoint now, Effects& effects);
-  void nextOrder(base::TimePoint now, Effects& effects);
+  void continueCampaign(base::TimePoint now, Effects& effects);
+  void considerFinishing(base::TimePoint now, Effects& effects);
+  void considerNextRecord(base::TimePoint now, Effects& effects);
+  void considerOrphanedRecord(base::TimePoint now, Effects& effects);
+  void campaign(base::TimePoint now, Effects& effects);
+  void finishAcceptedRecord(base::TimePoint now, Effects& effects);
+  void startCampaign(schema::EpochRecord target, Campaign::Step firstStep, base::TimePoint now, Effects& effects);
+  void sendCampaign(base::TimePoint now, Effects& effects);
+  void considerPreparing(base::TimePoint now, Effects& effects);
+  base::Millis randomizedCampaignTimeout();
+  void adopt(const schema::EpochRecord& record, base::TimePoint now, Effects& effects);
   void stepDown(Effects& effects);
-  Answer refusal(std::uint64_t call, base::TimePoint now) const;
-  Answer describe(const Order& order) const;
-  std::optional<Answer> prepare(const Order& order, schema::ControlState& next) const;
-  std::optional<Answer> prepareConfiguration(const Order& order, schema::ControlState& next) const;
-  std::optional<Answer> prepareRollout(const Order& order, rollout::Change kind, schema::ControlState& next) const;
+  void restDisk(base::TimePoint now, Effects& effects);
+  void resendRecord(base::TimePoint now, Effects& effects);
+  void announceRetirement(base::TimePoint now, Effects& effects);
+
+  // Replication of the state.
+  void startWrite(schema::ControlState state, std::optional<QueuedOrder> order, base::TimePoint now, Effects& effects);
+  void checkWrite(base::TimePoint now, Effects& effects);
+  void considerPublishing(base::TimePoint now, Effects& effects);
+  void sendHeartbeats(base::TimePoint now, Effects& effects);
+
+  // Orders.
+  Answer redirectOrReject(std::uint64_t call, base::TimePoint now) const;
+  bool awaitsPlacement(base::TimePoint now) const;
+  void processOrders(base::TimePoint now, Effects& effects);
+  void requestConfirmation(base::TimePoint now, Effects& effects);
+  void answerConfirmed(base::TimePoint now, Effects& effects);
 
   void on(const schema::Prepare& m, base::TimePoint now, Effects& effects);
   void on(const schema::Promise& m, base::TimePoint now, Effects& effects);
@@ -197,28 +167,23 @@
   ReplicaTimes times_;
   std::mt19937_64 random_;
   ClusterView cluster_;
-  std::optional<schema::EpochRecord> record_;
-  schema::Vote vote_;
-  std::optional<schema::ControlState> state_, published_;
-  std::map<std::string, settings::Endpoint> lastAddress_;
-  std::map<std::string, base::TimePoint> missingSince_;
-  std::map<std::string, base::TimePoint> firstSeen_;   // the machines with a disk that this view or one before showed
-  std::map<std::string, std::string> seenIn_;          // the zone in which each voter was last seen
-  std::map<std::string, base::TimePoint> silentAt_;    // when a backup last failed to answer in time
-  std::map<std::string, base::TimePoint> retiringAt_;  // when a member last said that it is leaving
-
+  std::optional<schema::EpochRecord> record_;  // in force: the newest that is known to be decided
   Phase phase_ = Phase::Idle;
-  std::optional<Candidacy> candidacy_;
-  std::optional<Write> current_;
-  std::deque<QueuedOrder> orders_;
-  PendingAnswers pendingAnswers_;
-  std::map<std::uint64_t, Reply> replies_;  // said once the write with this token is on disk
-  std::deque<schema::Message> local_;
-  std::uint64_t nextToken_ = 1;
-  schema::StateVersion announcedVersion_;
-  base::TimePoint beatAt_{}, beatSentAt_{}, campaignAfter_{}, leaseSince_{}, primaryGoneAt_{}, activeSince_{},
-      spreadAt_{}, announcedAt_{}, recordSentAt_{}, acceptedAt_{};
-  bool beatSeen_ = false, transferRequested_ = false, diskBad_ = false, primaryGone_ = false, retiringSelf_ = false;
+
+  EpochAcceptor acceptor_;
+  StateReplication replication_;
+  OrderQueue orders_;
+  MemberTracker members_;
+  PrimaryMonitor primary_;
+  std::optional<Campaign> campaign_;
+
+  std::uint64_t nextToken_ = 1;             // of disk writes
+  std::map<std::uint64_t, Reply> replies_;  // by the token of the write that they wait for
+  std::deque<schema::Message> loopback_;    // messages of this replica to itself
+  bool diskFailing_ = false;
+  base::TimePoint campaignNotBefore_{};
+  base::TimePoint activeSince_{};
+  base::TimePoint heartbeatSentAt_{}, recordSentAt_{}, retirementSentAt_{}, zoneSpreadAt_{};
 };
 
 }  // namespace indigohill::control
--- a/src/control/replica_times.hpp
+++ b/src/control/replica_times.hpp
@@ -13,8 +13,9 @@
   base::Millis writeTimeout{900};            // for a write to be on the own disk and at all backups
   base::Millis orderTimeout{3500};           // an order that is not finished by then is answered 503
   base::Millis voterReplacementDelay{3000};  // a voter that is missing for so long is replaced
-  base::Millis newcomerWindow{3000};   // a machine that came up no longer than this before a voter was missed replaces it
-  base::Millis placementWait{1500};    // how long orders wait for the machines that the fault tolerance calls for
+  base::Millis newcomerWindow{
+      3000};                         // a machine that came up no longer than this before a voter was missed replaces it
+  base::Millis placementWait{1500};  // how long orders wait for the machines that the fault tolerance calls for
 };
 
 }  // namespace indigohill::control
--- a/src/control/state_replication.hpp
+++ b/src/control/state_replication.hpp
@@ -29,11 +29,13 @@
   const std::optional<schema::ControlState>& published() const { return published_; }
   void clearPublished() { published_.reset(); }
 
-  // Takes a replica from the primary or a candidate unless a newer one is held: it may come late, when the later one
-  // has been acknowledged. False when it is older.
-  bool isOlder(const schema::ControlState& replica) const { return state_ && replica.version < state_->version; }
+  bool isOlderThanHeld(const schema::ControlState& replica) const {
+    return state_ && replica.version < state_->version;
+  }
+  // Takes a replica from the primary or a candidate. An older one never takes the place of what is held: it may come
+  // late, when the later one has been acknowledged.
   void take(const schema::ControlState& replica) {
-    if (!isOlder(replica)) state_ = replica;
+    if (!isOlderThanHeld(replica)) state_ = replica;
   }
 
   // Begins the write of a new state. `token` is that of the write to the own disk and names the write to the backups;
@@ -41,11 +43,12 @@
   void begin(schema::ControlState state, std::uint64_t token, std::optional<QueuedOrder> order, base::TimePoint now);
   bool inProgress() const { return write_.has_value(); }
   bool isInProgress(std::uint64_t token) const { return write_ && write_->token == token; }
+  // Whether a write is in progress that this backup has on disk.
+  bool isAcknowledgedBy(const std::string& backup) const { return write_ && write_->acknowledged.contains(backup); }
   // REQUIRES for all below: a write is in progress.
   void onOwnDisk() { write_->onOwnDisk = true; }
   void addAcknowledgement(const std::string& backup) { write_->acknowledged.insert(backup); }
   bool isOnOwnDisk() const { return write_->onOwnDisk; }
-  bool isAcknowledgedBy(const std::string& backup) const { return write_->acknowledged.contains(backup); }
   std::vector<std::string> unacknowledged(const std::vector<std::string>& backups) const;
   bool isComplete(const std::vector<std::string>& backups) const;
   base::Clock::duration age(base::TimePoint now) const { return now - write_->startedAt; }
@@ -62,6 +65,7 @@
 
  private:
   struct Write {
+    schema::ControlState state;
     std::uint64_t token = 0;
     std::optional<QueuedOrder> order;
     bool onOwnDisk = false;
--- a/src/hollow/daemon.cpp
+++ b/src/hollow/daemon.cpp
@@ -81,23 +81,23 @@
   }
 }
 
-void Daemon::synced(std::uint64_t token, bool ok, base::TimePoint now, Output& effects) {
+void Daemon::onDiskWrite(std::uint64_t token, bool ok, base::TimePoint now, Output& effects) {
   control::Effects output;
-  controller_->synced(token, ok, now, output);
+  controller_->onDiskWrite(token, ok, now, output);
   perform(output, effects);
 }
 
 void Daemon::replace(std::uint64_t call, std::uint64_t baseVersion, std::string document, base::TimePoint now,
                      Output& effects) {
   control::Effects output;
-  controller_->order({call, control::OrderKind::Replace, baseVersion, std::move(document)}, now, output);
+  controller_->submit({call, control::OrderKind::Replace, baseVersion, std::move(document)}, now, output);
   perform(output, effects);
 }
 
 void Daemon::update(std::uint64_t call, std::uint64_t baseVersion, std::string change, base::TimePoint now,
                     Output& effects) {
   control::Effects output;
-  controller_->order({call, control::OrderKind::Update, baseVersion, std::move(change)}, now, output);
+  controller_->submit({call, control::OrderKind::Update, baseVersion, std::move(change)}, now, output);
   perform(output, effects);
 }
 
--- a/src/model/replicas.cpp
+++ b/src/model/replicas.cpp
@@ -31,15 +31,15 @@
 // Shorter than the daemon's, in the same order, so that fewer ticks lead to each time-out.
 control::ReplicaTimes timesOfModel() {
   control::ReplicaTimes times;
-  times.beat = Millis(500);
-  times.resend = Millis(250);
-  times.retry = Millis(500);
-  times.quiet = Millis(1250);
-  times.writeStuck = Millis(750);
-  times.orderLife = Millis(2500);
-  times.exchange = Millis(1250);
-  times.turn = Millis(500);
-  times.gather = Millis(750);
+  times.heartbeatInterval = Millis(500);
+  times.resendInterval = Millis(250);
+  times.campaignTimeout = Millis(500);
+  times.electionTimeout = Millis(1250);
+  times.writeTimeout = Millis(750);
+  times.orderTimeout = Millis(2500);
+  times.voterReplacementDelay = Millis(1250);
+  times.electionStagger = Millis(500);
+  times.placementWait = Millis(750);
   return times;
 }
 
@@ -408,7 +408,7 @@
       return;
     }
   }
-  machine.replica->order(std::move(order), machine.now, effects);
+  machine.replica->submit(std::move(order), machine.now, effects);
 }
 
 ReplicaModel::State ReplicaModel::apply(const State& before, const Action& action) const {
@@ -475,7 +475,7 @@
         keep(write);
       else
         ++used.diskErrors;
-      machine.replica->synced(write.token, ok, machine.now, effects);
+      machine.replica->onDiskWrite(write.token, ok, machine.now, effects);
       break;
     }
     case Kind::Tick:
--- a/src/sim/world.cpp
+++ b/src/sim/world.cpp
@@ -322,7 +322,7 @@
     if (write.token != kToldBefore)
       onNode(i, life, Input::Disk, [this, i, token = write.token, ok] {
         control::Effects effects;
-        nodes_[i]->controller->synced(token, ok, now_, effects);
+        nodes_[i]->controller->onDiskWrite(token, ok, now_, effects);
         perform(i, effects);
       });
   if (n.alive && n.life == life) startCommit(i);
@@ -477,7 +477,7 @@
   const auto& call = pendingCalls_[number];
   if (call.answered) return;
   onNode(call.node, call.life, Input::Message,
-         [this, number, node = call.node] { nodes_[node]->controller->forget(number); });
+         [this, number, node = call.node] { nodes_[node]->controller->cancel(number); });
 }
 
 std::optional<std::size_t> World::nodeAt(const settings::Endpoint& cohort) const { return at(cohort); }
@@ -501,7 +501,7 @@
     pendingCalls_[number].life = n.life;
     onNode(i, n.life, Input::Order, [this, i, number, kind, baseVersion, body] {
       control::Effects effects;
-      nodes_[i]->controller->order({number, kind, baseVersion, body}, now_, effects);
+      nodes_[i]->controller->submit({number, kind, baseVersion, body}, now_, effects);
       perform(i, effects);
     });
   });
@@ -659,7 +659,7 @@
   // No zone has so many voters that its loss stops the core, once there are as many voters as there should be.
   for (std::size_t i = 0; i < shape_.controllers; ++i) {
     const auto& n = *nodes_[i];
-    if (!n.alive || !n.controller->replica().active(now_) || !n.controller->replica().complete()) continue;
+    if (!n.alive || !n.controller->replica().active(now_) || !n.controller->replica().isFullyReplicated()) continue;
     const auto& voters = n.controller->replica().record()->voters;
     if (voters.size() != 2 * shape_.faultTolerance + 1) breakRule(fmt::format("{} voters", voters.size()));
     if (!n.controller->group().view()) continue;
--- a/tests/fleet.hpp
+++ b/tests/fleet.hpp
@@ -157,7 +157,7 @@
     if (!until(base::Millis(30'000), [&] { return active() < shape_.controllers && viewed(size()); })) return false;
     const auto primary = active();
     control::Effects effects;
-    machines_[primary].controller->order({1, control::OrderKind::Replace, 0, configuration}, now_, effects);
+    machines_[primary].controller->submit({1, control::OrderKind::Replace, 0, configuration}, now_, effects);
     perform(primary, effects);
     return until(base::Millis(30'000), [&] { return informed() == shape_.routers; }).has_value();
   }
@@ -215,7 +215,7 @@
         if (!m.alive || m.life != life) return;
         m.disk[write.slot] = write.bytes;
         control::Effects done;
-        m.controller->synced(write.token, true, now_, done);
+        m.controller->onDiskWrite(write.token, true, now_, done);
         perform(i, done);
       });
     send(i, effects.out);
--- a/tests/test_control.cpp
+++ b/tests/test_control.cpp
@@ -11,6 +11,7 @@
 #include <set>
 
 #include "base/lists.hpp"
+#include "control/configuration.hpp"
 #include "control/replica.hpp"
 #include "control/taken_orders.hpp"
 #include "documents.hpp"
@@ -115,13 +116,13 @@
     callers_[call] = std::move(done);
     onNode(i, [this, i, call, kind, baseVersion, body] {
       if (!callers_.contains(call)) return;  // has closed its connection
-      step(i, [&](auto& effects) { replica(i).order({call, kind, baseVersion, body}, now_, effects); });
+      step(i, [&](auto& effects) { replica(i).submit({call, kind, baseVersion, body}, now_, effects); });
     });
     return call;
   }
   void close(std::size_t i, std::uint64_t call) {
     callers_.erase(call);
-    onNode(i, [this, i, call] { replica(i).forget(call); });
+    onNode(i, [this, i, call] { replica(i).cancel(call); });
   }
   control::Answer ask(std::size_t i, OrderKind kind, std::uint64_t baseVersion, std::string body) {
     control::Answer out{0, 0, {}, {}};
@@ -203,7 +204,7 @@
         if (nodes_[i].life != life) return;
         nodes_[i].disk[write.slot] = write.bytes;
         onNode(i,
-               [this, i, write] { step(i, [&](auto& after) { replica(i).synced(write.token, true, now_, after); }); });
+               [this, i, write] { step(i, [&](auto& after) { replica(i).onDiskWrite(write.token, true, now_, after); }); });
       });
     if (const auto& state = replica(i).published(); state && node.published < state->version) {
       node.published = state->version;
--- a/tests/test_many_changes.cpp
+++ b/tests/test_many_changes.cpp
@@ -77,7 +77,7 @@
       if (const auto leader = active()) {
         const auto call = ++calls_;
         step(*leader, [&](auto& replica, auto& effects) {
-          replica.order({call, kind, baseVersion, body}, now_, effects);
+          replica.submit({call, kind, baseVersion, body}, now_, effects);
         });
         for (int ticks = 0; ticks < 40 && !answers_.contains(call); ++ticks) tick();
         if (auto answer = answers_.extract(call);
@@ -158,7 +158,7 @@
     if (effects.writes.empty()) return;
     const bool ok = commit(machine, effects.writes);
     for (const auto& write : effects.writes)
-      perform(i, [&](auto& replica, auto& after) { replica.synced(write.token, ok, now_, after); });
+      perform(i, [&](auto& replica, auto& after) { replica.onDiskWrite(write.token, ok, now_, after); });
   }
 
   std::string folder_;
--- a/tests/test_membership.cpp
+++ b/tests/test_membership.cpp
@@ -139,7 +139,7 @@
     bringUp(world, op);
     cr_assert(world.runUntil(Millis(8000), [&] {
       const auto leader = world.active();
-      return leader && world.node(*leader).controller->replica().complete();
+      return leader && world.node(*leader).controller->replica().isFullyReplicated();
     }));
     const auto record = [&](std::size_t i) { return *world.node(i).controller->replica().record(); };
     const auto voters = record(*world.active()).voters;  // a copy, as the primary may be gone later
