--- a/src/cli/controller.cpp
+++ b/src/cli/controller.cpp
@@ -76,9 +76,9 @@
     tuning.replica.orderTimeout = std::min(tuning.replica.orderTimeout, s.ackTimeoutMs * 7 / 8);
     // A machine that was replaced by an empty one counts as lost only for `catchUpS` after the newcomer's start: by
     // then the voter that is gone must have been suspected, exchanged, and the record agreed on.
-    tuning.replica.voterReplacementDelay =
-        std::clamp(s.catchUpS - tuning.group.suspect - kAgreement, kShortestExchange, tuning.replica.voterReplacementDelay);
-    tuning.replica.newcomerWindow = tuning.group.suspect + kAgreement;
+    tuning.replica.voterReplacementDelay = std::clamp(s.catchUpS - tuning.group.suspicionTimeout - kAgreement,
+                                                      kShortestExchange, tuning.replica.voterReplacementDelay);
+    tuning.replica.newcomerWindow = tuning.group.suspicionTimeout + kAgreement;
     return tuning;
   }
 
--- a/src/cli/controller_status.cpp
+++ b/src/cli/controller_status.cpp
@@ -28,14 +28,14 @@
   out["lease"] = group.leaseHeld(now);
   if (const auto& v = group.view()) {
     out["view"] = v->number;
-    out["lister"] = v->lister;
+    out["lister"] = v->discoveryLeader;
     boost::json::array members;
     for (const auto& m : v->members)
       members.push_back({{"id", m.id}, {"zone", m.zone}, {"incarnation", m.incarnation}});
     out["members"] = std::move(members);
   }
   out["rejectedMessages"] = group.rejected();
-  out["timesToldDead"] = group.deaths();
+  out["timesToldDead"] = group.expulsions();
   out["droppedMessages"] = droppedMessages;
   return boost::json::serialize(out);
 }
--- a/src/cli/process.hpp
+++ b/src/cli/process.hpp
@@ -28,11 +28,11 @@
 inline membership::Times groupTimes(const settings::Settings& s) {
   membership::Times times;
   // A failure must be agreed on well within the time that an order may take.
-  times.suspect = std::min(times.suspect, s.ackTimeoutMs / 2);
-  // hello < lease < suspect: a lease outlasts a lost heartbeat, and has run out before its holder is taken for failed.
-  times.hello = std::min(times.hello, times.suspect / 4);
-  times.lease = std::min(times.lease, times.suspect * 3 / 4);
-  times.handover = std::min(times.handover, times.suspect / 2);
+  times.suspicionTimeout = std::min(times.suspicionTimeout, s.ackTimeoutMs / 2);
+  // See membership::Times for how they bound each other.
+  times.heartbeatInterval = std::min(times.heartbeatInterval, times.suspicionTimeout / 4);
+  times.lease = std::min(times.lease, times.suspicionTimeout * 3 / 4);
+  times.handover = std::min(times.handover, times.suspicionTimeout / 2);
   return times;
 }
 
--- a/src/control/controller.cpp
+++ b/src/control/controller.cpp
@@ -10,7 +10,7 @@
 namespace indigohill::control {
 
 namespace {
-constexpr std::uint64_t kFloorStep = 1u << 19;  // half of what each founding sets aside
+constexpr std::uint64_t kWatermarkStep = 1u << 19;  // half of what each founding sets aside
 }  // namespace
 
 Controller::Controller(Self self, Identity identity, std::vector<settings::Endpoint> seeds, Tuning tuning,
@@ -25,8 +25,8 @@
       stateSubscriber_(tuning.feed, seed, feed::Subscriber::Rotate::WhenSilent),
       runnerSubscriber_(tuning.feed, ~seed, feed::Subscriber::Rotate::WhenSilent) {
   group_.setSeeds(known(seeds));
-  group_.setFloor(identity.floor);
-  floorKept_ = identity.floor;
+  group_.setWatermark(identity.watermark);
+  watermarkKept_ = identity.watermark;
   if (identity.loaded.record) {
     group_.setVoters(identity.loaded.record->epoch, identity.loaded.record->voters);
     group_.setAccepted(*identity.loaded.record, {});
@@ -92,7 +92,7 @@
   const auto content = feed::contentOf(update);
   if (!replica_.active(now)) {
     for (const auto& state : content.states)
-      if (publisher_.setState(state)) group_.setHeld(state.version);
+      if (publisher_.setState(state)) group_.setStateVersion(state.version);
     if (stateAnsweredAt) publisher_.compare(update);
     // The answerer's age is carried on, so daemons that ask each other confirm nothing among themselves.
     if (stateAnsweredAt && update.stateAgeMs < feed::kUnknownAgeMs && stateVersion() >= update.stateVersion)
@@ -135,9 +135,9 @@
 void Controller::askForNews(base::TimePoint now, net::Outbox& out) {
   if (const auto primary = replica_.primaryAddress(); primary && !replica_.active(now))
     stateSubscriber_.tick(now, {*primary}, stateVersion(), feed::kNothingWanted, out);
-  if (group_.view() && !group_.isLister())
+  if (group_.view() && !group_.isDiscoveryLeader())
     for (const auto& m : group_.view()->members)
-      if (m.incarnation == group_.view()->lister)
+      if (m.incarnation == group_.view()->discoveryLeader)
         runnerSubscriber_.tick(now, {{m.ip, m.port}}, feed::kNothingWanted, publisher_.askRunners(), out);
 }
 
@@ -147,7 +147,7 @@
     const auto& state = *replica_.published();
     effects.notes.push_back(fmt::format("configuration {} in force (epoch {}, sequence {})", state.revision,
                                         state.version.epoch, state.version.sequence));
-    group_.setHeld(state.version);
+    group_.setStateVersion(state.version);
   }
   if (const auto& record = replica_.record()) {
     if (record->epoch != notedEpoch_) {
@@ -158,17 +158,17 @@
     group_.setVoters(record->epoch, record->voters);
   }
   if (const auto* accepted = replica_.accepted()) group_.setAccepted(*accepted, now);
-  for (const auto& delivered : group_.takeDelivered()) {
+  for (const auto& delivered : group_.takeEvents()) {
     if (!delivered.view) {
       effects.notes.push_back("left the group, told dead; joining again");
       continue;
     }
     effects.notes.push_back(fmt::format("view {}: {} members, incarnation {}{}", delivered.view->number,
                                         delivered.view->members.size(), group_.incarnation(),
-                                        group_.isLister() ? ", reads the list of runners" : ""));
-    if (!replica_.voterId().empty() && (group_.floor() > floorKept_ + kFloorStep || floorKept_ == 0)) {
-      floorKept_ = group_.floor();
-      effects.writes.push_back({0, Slot::Floor, std::to_string(floorKept_)});
+                                        group_.isDiscoveryLeader() ? ", reads the list of runners" : ""));
+    if (!replica_.voterId().empty() && (group_.watermark() > watermarkKept_ + kWatermarkStep || watermarkKept_ == 0)) {
+      watermarkKept_ = group_.watermark();
+      effects.writes.push_back({0, Slot::Watermark, std::to_string(watermarkKept_)});
     }
   }
   if (const auto holder = group_.flushFrom())
@@ -179,14 +179,15 @@
 }
 
 bool Controller::readingDue(base::TimePoint now) {
-  if (!group_.isLister() || !group_.leaseHeld(now) || leftGroup_ || now - readAt_ < tuning_.listPeriod) return false;
+  if (!group_.isDiscoveryLeader() || !group_.leaseHeld(now) || leftGroup_ || now - readAt_ < tuning_.listPeriod)
+    return false;
   readAt_ = now;
   return true;
 }
 
 void Controller::listed(std::vector<schema::RunnerEntry> runners, base::TimePoint askedAt, base::TimePoint now,
                         Effects& effects) {
-  if (!group_.view() || !group_.isLister()) return;
+  if (!group_.view() || !group_.isDiscoveryLeader()) return;
   auto version = publisher_.runnersVersion();
   std::sort(runners.begin(), runners.end(), [](const auto& a, const auto& b) { return a.instanceId < b.instanceId; });
   const auto between = std::chrono::duration_cast<base::Millis>(askedAt - publisher_.listedAt());
--- a/src/control/controller.hpp
+++ b/src/control/controller.hpp
@@ -69,7 +69,7 @@
   LeadershipCheck leadership_;
   feed::Publisher publisher_;
   feed::Subscriber stateSubscriber_, runnerSubscriber_;
-  std::uint64_t floorKept_ = 0, notedEpoch_ = 0;
+  std::uint64_t watermarkKept_ = 0, notedEpoch_ = 0;
   bool leaving_ = false, leftGroup_ = false;
   base::TimePoint leavingSince_{}, leftAt_{}, readAt_{};
 };
--- a/src/control/effects.hpp
+++ b/src/control/effects.hpp
@@ -11,7 +11,7 @@
 namespace indigohill::control {
 
 // Keys of what is kept on disk. The numbers are part of the format on disk.
-enum class Slot : std::uint8_t { Record = 1, Vote = 2, State = 3, Floor = 4, Identity = 5 };
+enum class Slot : std::uint8_t { Record = 1, Vote = 2, State = 3, Watermark = 4, Identity = 5 };
 
 // A write that is to be synced and then reported by `Replica::onDiskWrite`. Token 0: nobody waits for it.
 struct DiskWrite {
--- a/src/control/identity.cpp
+++ b/src/control/identity.cpp
@@ -13,7 +13,7 @@
 
 using SlotReader = std::function<std::optional<std::string>(Slot)>;
 
-constexpr Slot kAllSlots[] = {Slot::Identity, Slot::Record, Slot::Vote, Slot::State, Slot::Floor};
+constexpr Slot kAllSlots[] = {Slot::Identity, Slot::Record, Slot::Vote, Slot::State, Slot::Watermark};
 
 bool isEmpty(const SlotReader& read) {
   for (const auto slot : kAllSlots)
@@ -33,11 +33,11 @@
   return true;
 }
 
-bool decodeFloor(const SlotReader& read, std::uint64_t& floor) {
-  const auto text = read(Slot::Floor);
+bool decodeWatermark(const SlotReader& read, std::uint64_t& watermark) {
+  const auto text = read(Slot::Watermark);
   if (!text) return false;
   const auto* end = text->data() + text->size();
-  const auto [stop, error] = std::from_chars(text->data(), end, floor);
+  const auto [stop, error] = std::from_chars(text->data(), end, watermark);
   return error == std::errc{} && stop == end;
 }
 
@@ -50,7 +50,7 @@
   const bool whole = decodeSlot(read, Slot::Record, net::decodeRecord, true, out.loaded.record) &&
                      decodeSlot(read, Slot::Vote, net::decodeVote, false, out.loaded.vote) &&
                      decodeSlot(read, Slot::State, net::decodeControlState, true, out.loaded.state) &&
-                     decodeFloor(read, out.floor);
+                     decodeWatermark(read, out.watermark);
   if (!whole) return std::nullopt;
   return out;
 }
@@ -72,7 +72,7 @@
   writes.push_back({0, Slot::Record, founder ? net::encodeRecord(*out.loaded.record) : std::string()});
   writes.push_back({0, Slot::Vote, net::encodeVote(*out.loaded.vote)});
   writes.push_back({0, Slot::State, std::string()});
-  writes.push_back({0, Slot::Floor, std::to_string(out.floor)});
+  writes.push_back({0, Slot::Watermark, std::to_string(out.watermark)});
   return out;
 }
 
--- a/src/control/identity.hpp
+++ b/src/control/identity.hpp
@@ -16,7 +16,7 @@
 struct Identity {
   std::string voterId;
   Replica::Loaded loaded;
-  std::uint64_t floor = 0;
+  std::uint64_t watermark = 0;  // see Group::setWatermark
 };
 
 // Reads the identity from disk, or makes a new one.
--- a/src/feed/follower.cpp
+++ b/src/feed/follower.cpp
@@ -85,7 +85,7 @@
       configuration = std::make_shared<const control::Configuration>(std::get<0>(std::move(parsed)));
     }
     if (!publisher_.setState(state)) continue;
-    group_.setHeld(state.version);
+    group_.setStateVersion(state.version);
     effects.notes.push_back(fmt::format("configuration {} in force (epoch {}, sequence {})", state.revision,
                                         state.version.epoch, state.version.sequence));
     auto rollouts = rollout::readAll(state.rollouts);
@@ -141,7 +141,7 @@
 }
 
 void Follower::settle(FollowerEffects& effects) {
-  for (auto& delivered : group_.takeDelivered()) {
+  for (auto& delivered : group_.takeEvents()) {
     effects.notes.push_back(delivered.view ? fmt::format("view {}: {} members, incarnation {}", delivered.view->number,
                                                          delivered.view->members.size(), group_.incarnation())
                                            : std::string("left the group, told dead; joining again"));
--- a/src/hollow/daemon.hpp
+++ b/src/hollow/daemon.hpp
@@ -81,7 +81,7 @@
   void tell(const schema::LoadNotice& demand, Output& effects) const;
 
   Role role(base::TimePoint now) const;
-  bool isLister() const { return group().isLister(); }
+  bool isDiscoveryLeader() const { return group().isDiscoveryLeader(); }
   bool holdsOffice(base::TimePoint now) const { return controller_ && controller_->replica().active(now); }
   const membership::Group& group() const { return controller_ ? controller_->group() : follower_->group(); }
   std::uint64_t revision() const;
--- a/src/hollow/fleet.cpp
+++ b/src/hollow/fleet.cpp
@@ -347,7 +347,7 @@
 
 std::optional<std::size_t> Fleet::lister() const {
   for (std::size_t i = 0; i < shape_.controllers; ++i)
-    if (alive(i) && daemon(i).isLister()) return i;
+    if (alive(i) && daemon(i).isDiscoveryLeader()) return i;
   return std::nullopt;
 }
 
--- a/src/hollow/measure.cpp
+++ b/src/hollow/measure.cpp
@@ -128,7 +128,7 @@
         }
       };
       add(fleet_.daemon(i).role(fleet_.now()));
-      if (fleet_.daemon(i).isLister()) add(Role::Lister);
+      if (fleet_.daemon(i).isDiscoveryLeader()) add(Role::Lister);
     }
     for (std::size_t r = 0; r < kRoles; ++r) {
       const auto& s = sums[r];
--- a/src/membership/group.hpp
+++ b/src/membership/group.hpp
@@ -1,35 +1,40 @@
 #pragma once
-#include <functional>
 #include <map>
 #include <optional>
 #include <random>
 #include <set>
 #include <string>
+#include <utility>
 #include <vector>
 
 #include "base/time.hpp"
+#include "membership/commit_reminder.hpp"
+#include "membership/discovery.hpp"
+#include "membership/failure_detector.hpp"
+#include "membership/joiner_list.hpp"
+#include "membership/lease.hpp"
+#include "membership/proposal_round.hpp"
+#include "membership/times.hpp"
+#include "membership/view.hpp"
+#include "membership/view_builder.hpp"
 #include "net/codec.hpp"
 #include "schema/messages.hpp"
 
-// The group of daemons and its agreed sequence of views, after "Reliable Communication in the Presence of Failures",
-// sections 4.1 and 4.2. A pure state machine: messages and ticks go in with the time, messages come out.
-// docs/design.md says what was kept of the paper and what was changed.
+// The group of daemons and its agreed sequence of views, after Birman and Joseph, "Reliable Communication in the
+// Presence of Failures", sections 4.1 and 4.2. docs/design.md says what was kept of the paper and what was changed.
+//
+// A pure state machine: messages and ticks go in with the time, messages come out. It joins
+//   FailureDetector  who is suspected,
+//   Lease            until when this daemon may act on its view, and whether it renews the leases of others,
+//   JoinerList       who asks to join,
+//   Discovery        addresses at which the group may be found,
+//   ProposalRound    the view that this daemon proposes as manager,
+//   view_builder     what the next view holds.
+// Not thread-safe.
 namespace indigohill::membership {
 
-struct Times {
-  base::Millis hello{500};
-  base::Millis suspect{2000};
-  base::Millis lease{1500};
-  base::Millis handover{1000};  // how long a voter goes on with a view whose voters are being exchanged
-  base::Millis join{250};
-  base::Millis found{800};
-  base::Millis resend{200};
-};
-
-enum class Role : std::uint8_t { Router = 1, Controller = 2 };
-
-// An event for the folding side: a view was delivered, or the daemon left the group.
-struct Delivered {
+// The daemon has installed a view, or has been expelled from the group (no view).
+struct MembershipEvent {
   std::optional<schema::View> view;
 };
 
@@ -45,106 +50,84 @@
 
   void tick(base::TimePoint now, net::Outbox& out);
   void receive(const schema::Message& message, const settings::Endpoint& from, base::TimePoint now, net::Outbox& out);
-  // Leaves in order: the manager is told, and whom to name for the duty.
+  // Graceful shutdown: the managers are told, and who is to be the next discovery leader if this daemon is it.
   void leave(net::Outbox& out);
 
   // Voters as the control state knows them; the view takes them over by an extension of its own.
   void setVoters(std::uint64_t epoch, const std::vector<std::string>& voters);
-  // This voter has accepted a record, which may have been decided: from then on it renews leases under views of older
-  // epochs and other voters only for the time of a handover. Records that were on disk at the start count from ever.
+  // This voter has accepted a record; see Lease::onAccepted. Records that were on disk at the start count from ever.
   void setAccepted(const schema::EpochRecord& record, base::TimePoint since);
-  // The newest news this daemon holds, for the flush before a failure view.
-  void setHeld(const schema::StateVersion& held) { held_ = held; }
-  void setSeeds(std::vector<settings::Endpoint> seeds) { seeds_ = std::move(seeds); }
-  // Every address at which the group may be found: members that have announced themselves, seeds, and the controllers
-  // of the last view.
-  std::vector<settings::Endpoint> contacts() const;
-  // View numbers and incarnations below this were used before; kept on disk by voters.
-  void setFloor(std::uint64_t floor) { floor_ = std::max(floor_, floor); }
-  std::uint64_t floor() const { return floor_; }
+  // The newest control state that this daemon holds, for the flush before a view is installed.
+  void setStateVersion(const schema::StateVersion& version) { stateVersion_ = version; }
+  void setSeeds(std::vector<settings::Endpoint> seeds) { discovery_.setSeeds(std::move(seeds)); }
+  // Every address at which the group may be found.
+  std::vector<settings::Endpoint> contacts() const { return discovery_.contacts(); }
+  // View numbers and incarnations up to this were used before; kept on disk by voters.
+  void setWatermark(std::uint64_t watermark) { watermark_ = std::max(watermark_, watermark); }
+  std::uint64_t watermark() const { return watermark_; }
 
   const std::optional<schema::View>& view() const { return view_; }
-  // The extension acknowledged and not yet committed. Shares shrink by it already: it may be committed elsewhere.
+  // The extension acknowledged and not yet committed. Quota shares shrink by it already: it may be committed elsewhere.
   const std::optional<schema::Propose>& pending() const { return pending_; }
-  bool leaseHeld(base::TimePoint now) const { return now < leaseUntil_; }
-  base::TimePoint leaseUntil() const { return leaseUntil_; }
+  bool leaseHeld(base::TimePoint now) const { return lease_.isHeld(now); }
+  base::TimePoint leaseUntil() const { return lease_.until(); }
   std::uint64_t incarnation() const { return incarnation_; }
-  bool isLister() const { return view_ && view_->lister == incarnation_; }
-  const schema::Member* member(const std::string& voterId) const;
-  std::vector<Delivered> takeDelivered() { return std::exchange(delivered_, {}); }
-  // Whom to ask for news that a failed daemon may have been spreading; empty when nothing is held back.
+  // Whether this daemon reads the platform's list of runners for all.
+  bool isDiscoveryLeader() const { return view_ && view_->discoveryLeader == incarnation_; }
+  // The events since the last call.
+  std::vector<MembershipEvent> takeEvents() { return std::exchange(events_, {}); }
+  // From whom to fetch a control state that a failed daemon may have been spreading; nothing unless a view waits for
+  // it.
   std::optional<settings::Endpoint> flushFrom() const;
-  // One line for logs: where the agreement stands.
+  // Where the agreement stands, for traces.
   std::string describe(base::TimePoint now) const;
+  // Messages that were rejected as stale, and how often this daemon was expelled.
   std::uint64_t rejected() const { return rejected_; }
-  std::uint64_t deaths() const { return deaths_; }
+  std::uint64_t expulsions() const { return expulsions_; }
 
  private:
-  struct Round {
-    schema::Propose proposal;
-    std::set<std::uint64_t> acked;
-    base::TimePoint startedAt, sentAt;
-    schema::StateVersion flushed;
-    std::uint64_t holder = 0;
-    base::TimePoint wholeAt{};  // when the whole was last sent to those that lack the base
-    base::TimePoint ackedAt{};
-  };
-  struct Joiner {
-    schema::Member member;
-    base::TimePoint heardAt;
-    std::uint64_t floor = 0;
-  };
+  // Roles.
+  bool isVoter() const;
+  bool isManager() const;
+  bool watchesAll() const;
+  std::vector<const schema::Member*> watched() const;
 
-  // A member of a view, told by itself or by a daemon that it has announced itself to.
-  struct Contact {
-    base::TimePoint heardAt;
-    bool announcedItself = false;
-  };
+  // Heartbeats.
+  void updateSuspicions(base::TimePoint now);
+  void sendHeartbeats(base::TimePoint now, net::Outbox& out);
+  void sendHeartbeat(const schema::Member& to, bool replyRequested, base::TimePoint now, net::Outbox& out) const;
+  bool isHeartbeatRequestedBy(const schema::Member& member, base::TimePoint now) const;
+  void renewLease(base::TimePoint now);
 
-  static bool in(const schema::View& view, std::uint64_t incarnation);
-  static const schema::Member* find(const schema::View& view, std::uint64_t incarnation);
-  static std::size_t votersIn(const schema::View& view, const std::vector<std::string>& voters);
-  static bool quorum(const schema::View& view, const std::vector<std::string>& voters);
-  settings::Endpoint addressOf(const schema::Member& m) const { return {m.ip, m.port}; }
-  std::vector<const schema::Member*> watched() const;
-  bool watchesAll() const;
-  bool manages() const;
-  void suspectSilent(base::TimePoint now);
-  void sendHellos(base::TimePoint now, net::Outbox& out);
-  void sendHello(const schema::Member& to, bool wanted, base::TimePoint now, net::Outbox& out);
+  // Finding the group.
   void sendJoin(base::TimePoint now, net::Outbox& out);
-  bool isVoter() const;
-  std::vector<settings::Endpoint> missingDaemons(base::TimePoint now);
-  void noteDeparted(const schema::View& before, const schema::View& next, base::TimePoint now);
+  void forwardJoinToManager(const schema::Join& join, base::TimePoint now, net::Outbox& out) const;
   void announce(base::TimePoint now, net::Outbox& out);
   void passContactsOn(const settings::Endpoint& to, net::Outbox& out) const;
-  void rememberContact(const settings::Endpoint& address, bool announcedItself, base::TimePoint now);
-  void showView(const settings::Endpoint& to, base::TimePoint now, net::Outbox& out) const;
-  void seekGroup(base::TimePoint now, net::Outbox& out);
+  void probe(const settings::Endpoint& to, base::TimePoint now, net::Outbox& out) const;
+  void probeContacts(base::TimePoint now, net::Outbox& out);
+
+  // Proposing views.
   void considerFounding(base::TimePoint now, net::Outbox& out);
   void considerExtension(base::TimePoint now, net::Outbox& out);
-  void rebase(const schema::Propose& old, schema::Propose& proposal) const;
-  bool extend(schema::View& result, schema::ViewChange& step, bool joinsAlone, base::TimePoint now) const;
-  void dropSilentJoiners(base::TimePoint now);
-  void bar(const std::string& id, base::TimePoint now);
-  bool isBarred(const std::string& id, base::TimePoint now) const;
-  void giveUpFounding(base::TimePoint now);
-  void noteHeardBy(const schema::Heartbeat& heartbeat, base::TimePoint now);
-  void remind(base::TimePoint now, net::Outbox& out);
-  std::optional<schema::ProposeChanges> changesOf(const schema::Propose& proposal) const;
-  bool stale(std::uint64_t base, std::uint64_t number, std::uint64_t proposer, const settings::Endpoint& from,
-             base::TimePoint now, net::Outbox& out);
-  void sendView(const settings::Endpoint& to, net::Outbox& out) const;
+  schema::Propose extensionToContinue() const;
   void propose(base::TimePoint now, net::Outbox& out);
+  std::optional<schema::ProposeChanges> changesOf(const schema::Propose& proposal) const;
+  void denyUnresponsiveJoiners(base::TimePoint now);
+  void giveUpFounding(base::TimePoint now);
+  void driveRound(base::TimePoint now, net::Outbox& out);
   void considerCommit(base::TimePoint now, net::Outbox& out);
-  void deliver(const schema::Commit& commit, base::TimePoint now);
-  void tryDelivery(base::TimePoint now);
-  void install(const schema::Commit& commit, base::TimePoint now);
-  void die(const char* why, base::TimePoint now);
-  void renewLease(base::TimePoint now);
-  bool grantsLeases(base::TimePoint now) const;
-  void noteDecidedVoters(base::TimePoint now);
-  void takeOver(schema::View& result) const;
+
+  // Acknowledging and installing views.
+  bool rejectIfStale(std::uint64_t base, std::uint64_t number, std::uint64_t proposer, const settings::Endpoint& from,
+                     base::TimePoint now, net::Outbox& out);
+  schema::Nack contradiction(const schema::Propose& proposal, std::uint64_t selfIncarnation) const;
+  void sendView(const settings::Endpoint& to, net::Outbox& out) const;
+  void remindOfCommit(base::TimePoint now, net::Outbox& out);
+  void onCommitted(const schema::Commit& commit, base::TimePoint now);
+  void installIfFlushed(base::TimePoint now);
+  void install(const schema::View& next, base::TimePoint now);
+  void becomeExpelled(base::TimePoint now);
 
   void on(const schema::Heartbeat& m, const settings::Endpoint& from, base::TimePoint now, net::Outbox& out);
   void on(const schema::Join& m, const settings::Endpoint& from, base::TimePoint now, net::Outbox& out);
@@ -155,59 +138,38 @@
   void on(const schema::Ack& m, const settings::Endpoint& from, base::TimePoint now, net::Outbox& out);
   void on(const schema::Nack& m, const settings::Endpoint& from, base::TimePoint now, net::Outbox& out);
   void on(const schema::Commit& m, const settings::Endpoint& from, base::TimePoint now, net::Outbox& out);
-  void on(const schema::YouAreDead& m, const settings::Endpoint& from, base::TimePoint now, net::Outbox& out);
+  void on(const schema::Expelled& m, const settings::Endpoint& from, base::TimePoint now, net::Outbox& out);
   void on(const schema::Leave& m, const settings::Endpoint& from, base::TimePoint now, net::Outbox& out);
   void on(const schema::Contacts& m, const settings::Endpoint& from, base::TimePoint now, net::Outbox& out);
 
   Self self_;
-  std::vector<settings::Endpoint> seeds_;
   Times times_;
   std::mt19937_64 random_;
-  std::uint64_t bootId_;
-  std::uint64_t incarnation_ = 0;
-  std::uint64_t floor_ = 0;
-  std::uint64_t knownEpoch_ = 0;
-  std::vector<std::string> knownVoters_;
-  // When this daemon first knew, in this life, that a record with the voters in knownVoters_ was decided.
-  base::TimePoint decidedSince_{};
-  std::vector<std::string> decidedVoters_;
-  std::map<std::pair<std::uint64_t, std::vector<std::string>>, base::TimePoint> accepted_;  // since when
-  schema::StateVersion held_;
-
-  std::optional<schema::View> view_;
+  std::uint64_t bootId_;           // of this life; another after an expulsion
+  std::uint64_t incarnation_ = 0;  // granted by the view; 0: none
+  std::uint64_t watermark_ = 0;
+  VoterSet voters_;  // of the newest record that is known to be decided
+  schema::StateVersion stateVersion_;
+
+  FailureDetector failures_;
+  Lease lease_;
+  JoinerList joiners_;
+  Discovery discovery_;
+  CommitReminder commitReminder_;
+
+  std::optional<schema::View> view_;  // installed
   std::uint64_t viewDigest_ = 0;
-  std::optional<schema::Propose> pending_;
-  std::optional<schema::Commit> waiting_;  // committed, held back by the flush
-  std::optional<Round> round_;
-  // The members that have not shown the view that this daemon has committed; they are told again, a few times.
-  std::set<std::uint64_t> unshown_;
-  std::uint32_t shownTries_ = 0;
-  base::TimePoint deliveredAt_{};
-  std::map<std::uint64_t, base::TimePoint> heardAt_;
-  std::map<std::uint64_t, std::int64_t> stampOf_;  // the newest stamp each member sent, to be echoed
-  std::map<std::uint64_t, base::TimePoint> echoAt_;
-  std::map<std::uint64_t, base::TimePoint> watchedSince_;
-  std::set<std::uint64_t> suspected_;
-  std::set<std::uint64_t> leaving_;
-  std::uint64_t successor_ = 0;
-  std::map<std::string, Joiner> joiners_;
-  // Daemons that did not acknowledge a view that was to take them in: how often, and until when they wait.
-  struct Bar {
-    std::uint32_t times = 0;
-    base::TimePoint until;
-  };
-  std::map<std::string, Bar> barred_;
-  std::map<std::uint64_t, std::int64_t> heardStampOf_;  // the newest stamp of each member, under whatever view
-  std::map<std::uint64_t, base::TimePoint> heardByAt_;  // this daemon's own stamp that each member heard last
-  std::vector<settings::Endpoint> lastKnown_;
-  std::map<settings::Endpoint, Contact> contacts_;
-  std::map<settings::Endpoint, base::TimePoint> departedAt_;  // addresses of failed members, and when they failed
-  settings::Endpoint lastDepartedTold_;
-  std::vector<Delivered> delivered_;
-  base::TimePoint leaseUntil_{}, helloAt_{}, joinAt_{}, viewlessSince_{}, pendingAt_{};
-  base::TimePoint installedAt_{}, announcedAt_{}, soughtAt_{};
-  bool leavingSelf_ = false;
-  std::uint64_t rejected_ = 0, deaths_ = 0;
+  std::optional<schema::Propose> pending_;   // acknowledged, not known to be committed
+  std::optional<schema::Commit> unflushed_;  // committed, and held back by the flush
+  std::optional<ProposalRound> round_;       // proposed by this daemon
+  std::set<std::uint64_t> leaving_;          // members that shut down gracefully
+  std::uint64_t discoverySuccessor_ = 0;     // named by a leaving discovery leader
+  std::vector<MembershipEvent> events_;
+
+  base::TimePoint heartbeatsSentAt_{}, joinSentAt_{}, announcedAt_{}, probedAt_{};
+  base::TimePoint withoutViewSince_{}, pendingSince_{}, installedAt_{};
+  bool selfLeaving_ = false;
+  std::uint64_t rejected_ = 0, expulsions_ = 0;
 };
 
 }  // namespace indigohill::membership
--- a/src/sim/world.cpp
+++ b/src/sim/world.cpp
@@ -22,7 +22,7 @@
 
 // What makes two views the same.
 std::string content(const schema::View& view) {
-  auto out = fmt::format("e{} l{}", view.epoch, view.lister);
+  auto out = fmt::format("e{} l{}", view.epoch, view.discoveryLeader);
   for (const auto& m : view.members) out += fmt::format(" {}:{}:{}", m.id, m.incarnation, m.bootId);
   return out;
 }
--- a/tests/make_fixtures.cpp
+++ b/tests/make_fixtures.cpp
@@ -33,7 +33,7 @@
   const bool kept = store.writeAndWait({{0, Slot::Identity, samples.at(tests::kIdentitySample)},
                                         {0, Slot::Record, samples.at(tests::kRecordSample)},
                                         {0, Slot::Vote, samples.at(tests::kVoteSample)},
-                                        {0, Slot::Floor, samples.at(tests::kFloorSample)},
+                                        {0, Slot::Watermark, samples.at(tests::kFloorSample)},
                                         {0, Slot::State, std::string()}}) &&
                     store.writeAndWait({{0, Slot::State, samples.at(tests::kStateSample)}});
   return out && kept ? 0 : 1;
--- a/tests/test_formats.cpp
+++ b/tests/test_formats.cpp
@@ -70,11 +70,11 @@
     cr_assert(store.read(Slot::Record) == then.at(kRecordSample));
     cr_assert(store.read(Slot::Vote) == then.at(kVoteSample));
     cr_assert(store.read(Slot::State) == then.at(kStateSample));
-    cr_assert(store.read(Slot::Floor) == then.at(kFloorSample));
+    cr_assert(store.read(Slot::Watermark) == then.at(kFloorSample));
     std::vector<control::DiskWrite> writes;
     const auto identity =
         control::identify([&](Slot slot) { return store.read(slot); }, false, {}, {0x0a000001, 8080}, 1, writes);
-    cr_assert(writes.empty() && identity.voterId == kSampleIdentity && identity.floor == kSampleFloor);
+    cr_assert(writes.empty() && identity.voterId == kSampleIdentity && identity.watermark == kSampleFloor);
     cr_assert(identity.loaded.record == sample<schema::EpochRecord>());
     cr_assert(identity.loaded.vote == sample<schema::Vote>());
     cr_assert(identity.loaded.state == sample<schema::ControlState>());
--- a/tests/test_scale.cpp
+++ b/tests/test_scale.cpp
@@ -121,7 +121,7 @@
         groups[item.to]->receive(item.message, from, now, out);
         collect(item.to, out);
       }
-      for (auto& [address, group] : groups) views += group->takeDelivered().size();
+      for (auto& [address, group] : groups) views += group->takeEvents().size();
     }
   }
 };
@@ -167,16 +167,22 @@
   auto next = base;
   next.number += 3;
   next.members.push_back({"9", "", "z", 1, 9, 1, 9, next.number - 1});
-  schema::ProposeChanges changes{base.number, 1,
-                                 77,          base.members[0].incarnation,
-                                 false,       {{{}, {next.members.back()}}},
-                                 next.number, next.epoch,
-                                 next.lister, next.soleEpoch,
-                                 next.voters, 2};
+  schema::ProposeChanges changes{base.number,
+                                 1,
+                                 77,
+                                 base.members[0].incarnation,
+                                 false,
+                                 {{{}, {next.members.back()}}},
+                                 next.number,
+                                 next.epoch,
+                                 next.discoveryLeader,
+                                 next.unilateralEpoch,
+                                 next.voters,
+                                 2};
   net::Outbox out;
   // The digests are others': neither acknowledged nor delivered, but asked for whole.
   m.at(2).receive(changes, {1, 1}, m.now, out);
-  cr_assert(out.size() == 1 && std::get<schema::ViewRequest>(out[0].message).round == 77);
+  cr_assert(out.size() == 1 && std::get<schema::ViewRequest>(out[0].message).proposalId == 77);
   out.clear();
   m.at(2).receive(schema::CommitChanges{next.number, 2, {}, 0}, {1, 1}, m.now, out);
   cr_assert(out.size() == 1 && std::get<schema::ViewRequest>(out[0].message).number == next.number);
--- a/tests/test_store.cpp
+++ b/tests/test_store.cpp
@@ -275,7 +275,7 @@
     for (auto* disk : {&missing, &cut, &spoilt}) {
       // Of a name, any bytes can be read; the digest of the file tells that they are others.
       if (slot == Slot::Identity && disk != &missing) continue;
-      if (slot == Slot::Floor && disk == &cut) cut[slot].clear();
+      if (slot == Slot::Watermark && disk == &cut) cut[slot].clear();
       const auto identity = startController(*disk, true);
       cr_assert_eq(identity.voterId, "10.0.0.1:8000/0000000000000007", "slot %d", static_cast<int>(slot));
       cr_assert(!identity.loaded.record && !identity.loaded.state && identity.loaded.vote->promised == 0);
--- a/tests/test_world.cpp
+++ b/tests/test_world.cpp
@@ -286,13 +286,13 @@
 Test(group, a_failure_view_waits_for_what_survivors_hold_of_the_failed_daemon) {
   Pair p;
   auto commit = p.commit();
-  commit.flushed = {2, 5};
+  commit.flushVersion = {2, 5};
   commit.flushHolder = 50;
-  p.group.setHeld({2, 4});
+  p.group.setStateVersion({2, 4});
   p.group.receive(commit, {2, 2}, p.now, p.out);
   cr_assert(!p.group.view().has_value(), "delivered before the flush");
   cr_assert(p.group.flushFrom().has_value() && p.group.flushFrom()->ip == 2);
-  p.group.setHeld({2, 5});
+  p.group.setStateVersion({2, 5});
   p.group.tick(p.now, p.out);
   cr_assert(p.group.view().has_value() && !p.group.flushFrom().has_value());
 }
@@ -301,9 +301,9 @@
   Pair p;
   const auto before = p.self().bootId;
   p.group.receive(p.commit(), {2, 2}, p.now, p.out);
-  p.group.receive(schema::YouAreDead{50, 100}, {2, 2}, p.now, p.out);
+  p.group.receive(schema::Expelled{50, 100}, {2, 2}, p.now, p.out);
   cr_assert(p.group.view().has_value(), "meant for another incarnation");
-  p.group.receive(schema::YouAreDead{51, 100}, {2, 2}, p.now, p.out);
+  p.group.receive(schema::Expelled{51, 100}, {2, 2}, p.now, p.out);
   cr_assert(!p.group.view().has_value());
   cr_assert_neq(p.self().bootId, before);
 }
@@ -338,7 +338,7 @@
   p.hello(indigohill::base::toMs(p.now));
   p.out.clear();
   p.group.receive(schema::Heartbeat{49, 90, 1, 0, 0, true, 0, {}}, {3, 3}, p.now, p.out);
-  cr_assert(p.out.size() == 1 && std::get<schema::YouAreDead>(p.out[0].message).incarnation == 49);
+  cr_assert(p.out.size() == 1 && std::get<schema::Expelled>(p.out[0].message).incarnation == 49);
 }
 
 // Found by the random days (seed 694): a manager that had been left out proposed again, and members of the newer view
