--- a/src/base/fwd.hpp
+++ b/src/base/fwd.hpp
@@ -1,8 +1,5 @@
 #pragma once
 
 namespace indigohill::base {
-enum class Verdict;
-struct Error;
-template <class Event, class State>
-class Journal;
+class Fingerprint;
 }  // namespace indigohill::base
--- a/src/base/log.hpp
+++ b/src/base/log.hpp
@@ -1,17 +1,25 @@
 #pragma once
 #include <spdlog/spdlog.h>
 
+#include <memory>
 #include <string>
 
+#include "base/log_event.hpp"
+
 namespace indigohill::base {
 
-// JSON lines on standard output: {"ms":steady,"level":..,"node":..,"msg":..}. `level` is one of the settings' words.
+// JSON lines on standard output: {"ms":..,"level":..,"node":..,"role":..,"event":..,<fields>}; `ms` is of the steady
+// clock. A message that is no event has "msg" in place of these. `level` is one of the settings' words.
 void openLog(const std::string& node, const std::string& role, const std::string& level);
 // A logger whose lines are JSON objects already, for records of traffic.
 std::shared_ptr<spdlog::logger> openRecords();
-bool knownLevel(const std::string& level);
+bool isLogLevel(const std::string& level);
+// `level` as for openLog.
+void setLogLevel(const std::string& level);
 
-// Text safe to stand inside a JSON string.
-std::string quoted(std::string_view text);
+void logDebug(const LogEvent& event);
+void logInfo(const LogEvent& event);
+void logWarning(const LogEvent& event);
+void logError(const LogEvent& event);
 
 }  // namespace indigohill::base
--- a/src/cli/controller.cpp
+++ b/src/cli/controller_daemon.cpp
@@ -3,9 +3,11 @@
 
 #include "cli/controller_disk.hpp"
 #include "cli/controller_status.hpp"
+#include "cli/daemons.hpp"
+#include "cli/deployment.hpp"
+#include "cli/event_loop.hpp"
 #include "cli/operator_calls.hpp"
-#include "cli/process.hpp"
-#include "cli/roles.hpp"
+#include "cli/settings_watch.hpp"
 #include "control/calls.hpp"
 #include "control/controller.hpp"
 #include "http/server.hpp"
@@ -19,67 +21,69 @@
 
 namespace {
 
-// How long the agreement on a record takes, with room for a candidacy that has to start again; and how long a voter has
-// to be missing from the view at least.
-constexpr Millis kAgreement{1000}, kShortestExchange{300};
+constexpr Millis kAgreement{1000};  // how long the agreement on a record takes, with room for a second campaign
+constexpr Millis kMinVoterReplacementDelay{300};
 
-class Process {
+// A controller's core with its sockets and its disk. All of it runs on one thread but for the disk's.
+class ControllerDaemon {
  public:
-  Process(const settings::Settings& settings, const std::string& path, ControllerDisk disk)
+  ControllerDaemon(const settings::Settings& settings, const std::string& path, ControllerDisk disk)
       : watch_(path, "controller", settings),
         store_(std::move(disk.store)),
         io_(1),
         executor_(io_.get_executor()),
-        core_({settings.nodeName, settings.zone, cohortAddress(settings, true)}, std::move(disk.identity),
-              seedAddresses(settings), tuningOf(settings), randomSeed()),
-        calls_(executor_,
-               {[this](control::Order order) { submit(std::move(order)); },
-                [this](std::uint64_t call) { core_.cancel(call); }, [this] { return watch_.now().controlPlane.port; }}),
+        core_({settings.nodeName, settings.zone, peerAddress(settings, true)}, std::move(disk.identity),
+              seedAddresses(settings), optionsOf(settings), randomSeed()),
+        calls_(executor_, {[this](control::Order order) { submit(std::move(order)); },
+                           [this](std::uint64_t call) { core_.cancel(call); },
+                           [this] { return watch_.current().controlPlane.port; }}),
         control_(
             executor_, settings.controlPlane, {},
             [this](http::Request request, http::Caller caller) { return call(std::move(request), std::move(caller)); }),
-        link_(executor_, cohortAddress(settings, true),
+        link_(executor_, peerAddress(settings, true),
               [this](const schema::Message& m, const settings::Endpoint& from) { receive(m, from); }),
         reader_(executor_, settings.address) {}
 
   int run() {
     control_.start();
     link_.start();
-    asio::co_spawn(io_, every(executor_, store_ ? kControllerTick : kRelayTick, [this] { return tick(); }),
+    asio::co_spawn(io_, tickUntilDone(executor_, store_ ? kControllerTick : kObserverTick, [this] { return tick(); }),
                    asio::detached);
     asio::co_spawn(io_,
-                   onSignals(
-                       executor_, [this] { leave(); }, [this] { reread(true); }),
+                   handleSignals(
+                       executor_, [this] { shutDown(); }, [this] { reloadSettings(true); }),
                    asio::detached);
-    const auto& record = core_.replica().record();
-    spdlog::info("controller started: control {}, cohort {}, voter {}, {}", settings::text(watch_.now().controlPlane),
-                 settings::text(cohortAddress(watch_.now(), true)), store_ ? core_.replica().voterId() : "none (relay)",
-                 record ? fmt::format("epoch {}", record->epoch) : "no record");
+    base::logInfo(base::LogEvent("controller_started")
+                      .with("control", settings::text(watch_.current().controlPlane))
+                      .with("peers", settings::text(peerAddress(watch_.current(), true)))
+                      .with("voter", core_.replica().voterId())
+                      .with("epoch", core_.replica().record() ? core_.replica().record()->epoch : 0));
     io_.run();
     store_.reset();
-    spdlog::info("controller ends");
+    base::logInfo(base::LogEvent("controller_stopped"));
     return 0;
   }
 
  private:
-  static control::Controller::Tuning tuningOf(const settings::Settings& s) {
-    control::Controller::Tuning tuning;
-    tuning.group = groupTimes(s);
-    tuning.feed = feedTimes(s);
-    tuning.listPeriod = runners::listPeriod(s, 1);
-    tuning.grace = s.gracePeriodS;
+  static control::Controller::Options optionsOf(const settings::Settings& s) {
+    control::Controller::Options options;
+    options.group = groupTimes(s);
+    options.feed = feedTimes(s);
+    options.listReadInterval = runners::listReadInterval(s, 1);
+    options.gracePeriod = s.gracePeriodS;
     // Each zone may be lost with the copy and the vote that it holds; voters and copies are spread over zones.
-    tuning.faultTolerance = std::max<std::size_t>({1, s.machines, s.zones});
+    options.faultTolerance = std::max<std::size_t>({1, s.machines, s.zones});
     // What goes wrong with a write must be mended well within the time that an order may take.
-    tuning.replica.writeTimeout = std::min(tuning.replica.writeTimeout, s.ackTimeoutMs * 3 / 10);
-    tuning.replica.placementWait = std::min(tuning.replica.placementWait, s.ackTimeoutMs * 3 / 8);
-    tuning.replica.orderTimeout = std::min(tuning.replica.orderTimeout, s.ackTimeoutMs * 7 / 8);
+    options.replica.writeTimeout = std::min(options.replica.writeTimeout, s.ackTimeoutMs * 3 / 10);
+    options.replica.placementWait = std::min(options.replica.placementWait, s.ackTimeoutMs * 3 / 8);
+    options.replica.orderTimeout = std::min(options.replica.orderTimeout, s.ackTimeoutMs * 7 / 8);
     // A machine that was replaced by an empty one counts as lost only for `catchUpS` after the newcomer's start: by
     // then the voter that is gone must have been suspected, exchanged, and the record agreed on.
-    tuning.replica.voterReplacementDelay = std::clamp(s.catchUpS - tuning.group.suspicionTimeout - kAgreement,
-                                                      kShortestExchange, tuning.replica.voterReplacementDelay);
-    tuning.replica.newcomerWindow = tuning.group.suspicionTimeout + kAgreement;
-    return tuning;
+    options.replica.voterReplacementDelay =
+        std::clamp(s.catchUpS - options.group.suspicionTimeout - kAgreement, kMinVoterReplacementDelay,
+                   options.replica.voterReplacementDelay);
+    options.replica.newcomerWindow = options.group.suspicionTimeout + kAgreement;
+    return options;
   }
 
   asio::awaitable<http::Response> call(http::Request request, http::Caller caller) {
@@ -100,7 +104,7 @@
 
   // Carries out what the core wants done.
   void apply(control::Effects& effects) {
-    for (const auto& note : effects.notes) spdlog::info("{}", note);
+    for (const auto& event : effects.log) base::logInfo(event);
     for (auto& write : effects.writes)
       store_->write(std::move(write), [this](std::uint64_t token, bool ok) {
         asio::post(executor_, [this, token, ok] {
@@ -124,35 +128,36 @@
     calls_.dropAbandoned();
     control::Effects effects;
     core_.tick(now, effects);
-    if (!reading_ && core_.readingDue(now)) {
+    if (!reading_ && core_.isListReadDue(now)) {
       reading_ = true;
-      asio::co_spawn(io_,
-                     readRunners(reader_, reading_,
-                                 [this](std::vector<schema::RunnerEntry> runners, base::TimePoint askedAt) {
-                                   core_.setListPeriod(runners::listPeriod(watch_.now(), reader_.pages()));
-                                   control::Effects after;
-                                   core_.listed(std::move(runners), askedAt, base::Clock::now(), after);
-                                   apply(after);
-                                 }),
-                     asio::detached);
+      asio::co_spawn(
+          io_,
+          readRunners(reader_, reading_,
+                      [this](std::vector<schema::RunnerEntry> runners, base::TimePoint askedAt) {
+                        core_.setListReadInterval(runners::listReadInterval(watch_.current(), reader_.pages()));
+                        control::Effects after;
+                        core_.onListRead(std::move(runners), askedAt, base::Clock::now(), after);
+                        apply(after);
+                      }),
+          asio::detached);
     }
-    if (now - lookedAt_ >= kSettingsLook) {
-      lookedAt_ = now;
-      reread(false);
+    if (now - settingsCheckedAt_ >= kSettingsInterval) {
+      settingsCheckedAt_ = now;
+      reloadSettings(false);
     }
     apply(effects);
-    if (!core_.left(now)) return true;
+    if (!core_.isShutDown(now)) return true;
     io_.stop();
     return false;
   }
 
-  void reread(bool told) {
-    if (watch_.look(told)) core_.setSeeds(seedAddresses(watch_.now()));
+  void reloadSettings(bool signalled) {
+    if (watch_.check(signalled)) core_.setSeeds(seedAddresses(watch_.current()));
   }
 
-  void leave() {
+  void shutDown() {
     control::Effects effects;
-    core_.leave(base::Clock::now(), effects);
+    core_.shutDown(base::Clock::now(), effects);
     apply(effects);
   }
 
@@ -166,7 +171,7 @@
   net::Link link_;
   runners::Reader reader_;
   bool reading_ = false;
-  base::TimePoint lookedAt_{};
+  base::TimePoint settingsCheckedAt_{};
 };
 
 }  // namespace
@@ -174,7 +179,7 @@
 int runController(const settings::Settings& settings, const std::string& settingsPath) {
   std::signal(SIGPIPE, SIG_IGN);
   std::signal(SIGHUP, SIG_IGN);  // until the event loop takes it; the default would end the process
-  return Process(settings, settingsPath, openControllerDisk(settings)).run();
+  return ControllerDaemon(settings, settingsPath, openControllerDisk(settings)).run();
 }
 
 }  // namespace indigohill::cli
--- a/src/cli/controller_status.cpp
+++ b/src/cli/controller_status.cpp
@@ -8,7 +8,7 @@
 
 std::string controllerStatus(const control::Controller& core, std::uint64_t droppedMessages, base::TimePoint now) {
   const auto& replica = core.replica();
-  const auto& source = core.source();
+  const auto& source = core.publisher();
   const auto& group = core.group();
   boost::json::object out;
   out["voter"] = replica.voterId();
--- /dev/null
+++ b/src/cli/daemon_commands.cpp
@@ -0,0 +1,63 @@
+// `indigohill router`, `controller` and `check-settings`: the subcommands that read a settings file.
+#include <iostream>
+#include <memory>
+
+#include "base/log.hpp"
+#include "cli/command.hpp"
+#include "cli/daemons.hpp"
+#include "cli/settings_option.hpp"
+
+namespace indigohill::cli {
+
+namespace {
+
+constexpr const char* kRouter = "router";
+constexpr const char* kController = "controller";
+
+using Daemon = int (*)(const settings::Settings&, const std::string& settingsPath);
+
+int runDaemon(const std::string& role, Daemon daemon, const std::string& path) {
+  auto loaded = loadSettings(path, role);
+  if (const auto* status = std::get_if<int>(&loaded)) return *status;
+  const auto& settings = std::get<settings::Settings>(loaded);
+  base::openLog(settings.nodeName, role, settings.logLevel);
+  try {
+    return daemon(settings, path);
+  } catch (const std::exception& error) {
+    base::logError(base::LogEvent("process_failed").with("error", error.what()));
+    return 1;
+  }
+}
+
+Command addDaemonCommand(CLI::App& app, const char* role, const char* description, Daemon daemon) {
+  const auto path = std::make_shared<std::string>();
+  auto* parser = app.add_subcommand(role, description);
+  addSettingsOption(*parser, *path);
+  return {parser, [role, daemon, path] { return runDaemon(role, daemon, *path); }};
+}
+
+}  // namespace
+
+Command addRouterCommand(CLI::App& app) {
+  return addDaemonCommand(app, kRouter, "carry clients' requests to the runners", runRouter);
+}
+
+Command addControllerCommand(CLI::App& app) {
+  return addDaemonCommand(app, kController, "hold the configuration and take operators' orders", runController);
+}
+
+Command addCheckSettingsCommand(CLI::App& app) {
+  const auto path = std::make_shared<std::string>();
+  const auto role = std::make_shared<std::string>(kRouter);
+  auto* parser = app.add_subcommand("check-settings", "read the settings file and say what is wrong with it");
+  addSettingsOption(*parser, *path);
+  parser->add_option("--role", *role, "role to check for")->check(CLI::IsMember({kRouter, kController}));
+  return {parser, [path, role] {
+            const auto loaded = loadSettings(*path, *role);
+            if (const auto* status = std::get_if<int>(&loaded)) return *status;
+            std::cout << *path << ": good for " << *role << "\n";
+            return 0;
+          }};
+}
+
+}  // namespace indigohill::cli
--- a/src/cli/roles.hpp
+++ b/src/cli/daemons.hpp
@@ -5,7 +5,7 @@
 
 namespace indigohill::cli {
 
-// Each runs its role until it is told to stop and gives back the exit status.
+// Each runs its daemon until it is told to stop, and gives the exit status. Throws what prevents the start.
 int runRouter(const settings::Settings& settings, const std::string& settingsPath);
 int runController(const settings::Settings& settings, const std::string& settingsPath);
 
--- /dev/null
+++ b/src/cli/deployment.cpp
@@ -0,0 +1,43 @@
+#include "cli/deployment.hpp"
+
+#include <algorithm>
+#include <variant>
+
+#include "base/log.hpp"
+
+namespace indigohill::cli {
+
+// The order that membership::Times asks for stays.
+membership::Times groupTimes(const settings::Settings& settings) {
+  membership::Times times;
+  times.suspicionTimeout = std::min(times.suspicionTimeout, settings.ackTimeoutMs / 2);
+  times.heartbeatInterval = std::min(times.heartbeatInterval, times.suspicionTimeout / 4);
+  times.lease = std::min(times.lease, times.suspicionTimeout * 3 / 4);
+  times.handover = std::min(times.handover, times.suspicionTimeout / 2);
+  return times;
+}
+
+feed::Times feedTimes(const settings::Settings& settings) {
+  const auto times = feed::Times::within(settings.configApplyMs);
+  const auto worst = times.worstApply(kObserverTick);
+  if (worst > settings.configApplyMs)
+    base::logWarning(base::LogEvent("config_apply_bound_too_short")
+                         .with("boundMs", settings.configApplyMs.count())
+                         .with("worstMs", worst.count()));
+  return times;
+}
+
+std::vector<settings::Endpoint> seedAddresses(const settings::Settings& settings) {
+  std::vector<settings::Endpoint> out;
+  out.reserve(settings.seedNodes.size());
+  for (const auto& seed : settings.seedNodes) out.push_back({seed.ip, settings::cohortPort(settings, true)});
+  return out;
+}
+
+settings::Endpoint peerAddress(const settings::Settings& settings, bool controller) {
+  auto out = std::get<settings::Endpoint>(settings::parseEndpoint(settings.ipAddress + ":1"));
+  out.port = settings::cohortPort(settings, controller);
+  return out;
+}
+
+}  // namespace indigohill::cli
--- a/src/cli/fwd.hpp
+++ /dev/null
@@ -1,6 +0,0 @@
-#pragma once
-
-namespace indigohill::cli {
-class OperatorCalls;
-struct ControllerDisk;
-}  // namespace indigohill::cli
--- /dev/null
+++ b/src/cli/input_files.cpp
@@ -0,0 +1,16 @@
+#include "cli/input_files.hpp"
+
+#include <fstream>
+#include <sstream>
+
+namespace indigohill::cli {
+
+std::string contents(const std::string& path) {
+  std::ifstream in(path);
+  if (!in) throw BadInput{path + ": cannot be read"};
+  std::ostringstream all;
+  all << in.rdbuf();
+  return std::move(all).str();
+}
+
+}  // namespace indigohill::cli
--- a/src/cli/operator_calls.cpp
+++ b/src/cli/operator_calls.cpp
@@ -44,7 +44,10 @@
   }
   if (answer.status == 503) out.set(http::wire::field::retry_after, kRetryAfterSeconds);
   if (answer.status >= 400 && answer.status != 503 && answer.status != 404)
-    spdlog::info("{} answered {}: {}", std::string(request.target()), answer.status, answer.body);
+    base::logInfo(base::LogEvent("operator_call_refused")
+                      .with("call", std::string(request.target()))
+                      .with("status", answer.status)
+                      .with("reason", answer.body));
   return out;
 }
 
@@ -76,7 +79,7 @@
   auto answer = std::move(waiting_[call].answer);
   waiting_.erase(call);
   if (answer) co_return *std::move(answer);
-  core_.forget(call);
+  core_.cancel(call);
   co_return control::Answer{call, 503, "not finished in time", {}};
 }
 
--- a/src/cli/operator_calls.hpp
+++ b/src/cli/operator_calls.hpp
@@ -21,7 +21,7 @@
  public:
   struct Core {
     std::function<void(control::Order)> submit;
-    std::function<void(std::uint64_t call)> forget;  // drops an order that has not been begun, and its answer
+    std::function<void(std::uint64_t call)> cancel;  // drops an order that has not been begun, and its answer
     std::function<std::uint16_t()> controlPort;      // of the daemon that a redirection names
   };
 
--- a/src/cli/replay.hpp
+++ b/src/cli/replay_command.hpp
@@ -1,9 +1,11 @@
 #pragma once
+#include <cstdint>
 #include <string>
 #include <vector>
 
 namespace indigohill::cli {
 
+// Paths of files, empty where not given.
 struct ReplayArguments {
   std::vector<std::string> traffic;  // log files with records of requests
   std::string configuration, changedConfiguration, fleet, currentPolicy, changedPolicy;
--- a/src/cli/rollout.hpp
+++ b/src/cli/rollout_command.hpp
@@ -1,11 +1,14 @@
 #pragma once
+#include <cstdint>
 #include <string>
 #include <vector>
 
-// `indigohill rollout`: an operator's orders about rollouts of weights, over the control address.
 namespace indigohill::cli {
 
+enum class RolloutVerb { Declare, Status, Advance, Withdraw };
+
 struct RolloutArguments {
+  RolloutVerb verb = RolloutVerb::Status;
   std::vector<std::string> control;  // addresses of controllers, tried in turn
   std::string file;                  // of the record, to declare
   std::string service, stage;
@@ -14,8 +17,6 @@
   bool evenWithoutRunners = false, json = false;
 };
 
-enum class RolloutVerb { Declare, Status, Advance, Withdraw };
-
 // 0: done, or status: nobody is held back; 1: status: somebody is; 2: the order or its record is wrong; 3: an input
 // cannot be used; 4: the order does not fit what is in force; 5: no clear answer, it may be in force or not.
 int runRollout(RolloutVerb verb, const RolloutArguments& arguments);
--- /dev/null
+++ b/src/cli/router_daemon.cpp
@@ -0,0 +1,240 @@
+#include <boost/asio/post.hpp>
+#include <boost/asio/strand.hpp>
+#include <csignal>
+#include <thread>
+
+#include "base/journal.hpp"
+#include "cli/daemons.hpp"
+#include "cli/deployment.hpp"
+#include "cli/event_loop.hpp"
+#include "cli/settings_watch.hpp"
+#include "http/server.hpp"
+#include "net/link.hpp"
+#include "proxy/executor.hpp"
+#include "router/router_core.hpp"
+#include "routing/table.hpp"
+
+namespace indigohill::cli {
+
+namespace asio = http::asio;
+using base::Millis;
+
+namespace {
+
+constexpr Millis kTick{200};
+// After this time from the signal the platform sends no new connections: it asks for readiness each second and takes
+// two misses.
+constexpr Millis kDelisted{3000};
+constexpr Millis kKillMargin{400};  // the process ends by itself so long before the platform kills it
+
+// How long the process runs on after it was told to stop.
+Millis graceOf(const settings::Settings& s) { return s.gracePeriodS - kKillMargin; }
+
+routing::Bounds boundsOf(const settings::Settings& s) {
+  return {s.retryBudgetRatio,
+          s.retryBudgetSlack,
+          s.warmupOvershoot,
+          s.warmupSlack,
+          s.retryWindowS,
+          groupTimes(s).lease + groupTimes(s).handover,
+          s.policy,
+          static_cast<std::size_t>((s.policy.indexMb > 0 ? s.policy.indexMb : 0.1 * static_cast<double>(s.memoryMb)) *
+                                   (1 << 20))};
+}
+
+// A router's core, its routing table and its proxy with their sockets. The core runs on one strand (`control_`);
+// clients and runners are served by the worker threads, which share table and executor (docs/design.md, "Threads and
+// locks").
+class RouterDaemon {
+ public:
+  RouterDaemon(const settings::Settings& settings, const std::string& path)
+      : watch_(path, "router", settings),
+        seed_(randomSeed()),
+        workers_(workersOf(settings)),
+        io_(static_cast<int>(workers_)),
+        control_(asio::make_strand(io_)),
+        core_({settings.nodeName, settings.zone, peerAddress(settings, false)}, seedAddresses(settings),
+              groupTimes(settings), feedTimes(settings), settings.drainTimeoutMs, seed_, base::Clock::now()),
+        journal_(routing::fold),
+        table_(settings.zone, boundsOf(settings), seed_ + 1, base::Clock::now()),
+        executor_(io_.get_executor(), table_),
+        acceptor_(http::listen(io_.get_executor(), settings.frontend, "frontend")),
+        readiness_(io_.get_executor(), settings.readiness, {},
+                   [this](http::Request request, const http::Caller&) -> asio::awaitable<http::Response> {
+                     co_return readiness(request);
+                   }),
+        link_(control_, peerAddress(settings, false),
+              [this](const schema::Message& m, const settings::Endpoint& from) { receive(m, from); }),
+        reader_(control_, settings.address) {}
+
+  int run() {
+    if (watch_.current().trafficLog) executor_.setTrafficLog(base::openRecords());
+    table_.setTell([this](const schema::LoadNotice& notice) {
+      asio::post(control_, [this, notice] {
+        net::Outbox out;
+        core_.broadcast(notice, out);
+        link_.send(out);
+      });
+    });
+    readiness_.start();
+    link_.start();
+    asio::co_spawn(io_, executor_.accept(acceptor_), asio::detached);
+    asio::co_spawn(control_, tickUntilDone(control_, kTick, [this] { return tick(); }), asio::detached);
+    asio::co_spawn(control_,
+                   handleSignals(
+                       control_, [this] { shutDown(); }, [this] { reloadSettings(true); }),
+                   asio::detached);
+    base::logInfo(base::LogEvent("router_started")
+                      .with("frontend", settings::text(watch_.current().frontend))
+                      .with("peers", settings::text(peerAddress(watch_.current(), false))));
+    std::vector<std::thread> others;
+    for (std::size_t i = 1; i < workers_; ++i) others.emplace_back([this] { io_.run(); });
+    io_.run();
+    for (auto& other : others) other.join();
+    logTotals();
+    return 0;
+  }
+
+ private:
+  void logTotals() {
+    const auto& requests = executor_.counters();
+    base::logInfo(base::LogEvent("router_stopped")
+                      .with("requests", requests.requests.load())
+                      .with("passed", requests.passed.load())
+                      .with("retried", requests.retried.load())
+                      .with("resumed", requests.resumed.load())
+                      .with("rejected", requests.rejected.load())
+                      .with("cut", requests.cut.load())
+                      .with("failed", requests.failed.load())
+                      .with("runnerConnections", executor_.pool().opened()));
+    const auto index = table_.indexState();
+    base::logInfo(base::LogEvent("prompt_index_totals")
+                      .with("hits", index.counters.hits)
+                      .with("misses", index.counters.misses)
+                      .with("stores", index.counters.stores)
+                      .with("removes", index.counters.removes)
+                      .with("forgotten", index.counters.forgotten)
+                      .with("blocks", index.blocks)
+                      .with("bytes", index.bytes)
+                      .with("failedLookups", index.failed)
+                      .with("rankings", index.rankings));
+  }
+
+  static std::size_t workersOf(const settings::Settings& s) {
+    return std::clamp<std::size_t>(s.workers != 0 ? s.workers : s.cpuCores, 1, 64);
+  }
+
+  http::Response readiness(const http::Request& request) {
+    if (request.target() != "/v1/readiness") return http::answer(request, 404, "no such call");
+    const bool is = isReady_;
+    std::string body = is ? "ready" : "not ready";
+    if (const auto ms = unconfirmedMs_.load(); ms > 0)
+      body += fmt::format("; no controller has confirmed the configuration for {} ms", ms);
+    return http::answer(request, is ? 200 : 503, std::move(body));
+  }
+
+  void receive(const schema::Message& message, const settings::Endpoint& from) {
+    router::RouterEffects effects;
+    core_.receive(message, from, base::Clock::now(), effects);
+    apply(effects);
+  }
+
+  // Carries out what the core wants done: events to the journal, the lease to the table, messages out.
+  void apply(router::RouterEffects& effects) {
+    const auto now = base::Clock::now();
+    for (const auto& event : effects.log) base::logInfo(event);
+    for (const auto& notice : effects.loadNotices) table_.heard(notice, now);
+    for (const auto& report : effects.healthReports) table_.heard(report, now);
+    for (auto& event : effects.events) table_.setSnapshot(journal_.append(std::move(event)), now);
+    if (!effects.events.empty()) executor_.queue().wakeAll();
+    table_.setLease(core_.group().leaseUntil());
+    isReady_ = core_.isInformed() && !shuttingDown_;
+    unconfirmedMs_ = core_.unconfirmedFor(now).value_or(Millis(0)).count();
+    link_.send(effects.out);
+  }
+
+  bool tick() {
+    const auto now = base::Clock::now();
+    router::RouterEffects effects;
+    core_.tick(now, effects);
+    for (const auto& [to, report] : table_.takeHealthReports(now))
+      to == 0 ? core_.broadcast(report, effects.out) : core_.sendTo(to, report, effects.out);
+    if (now - settingsCheckedAt_ >= kSettingsInterval) {
+      settingsCheckedAt_ = now;
+      reloadSettings(false);
+      std::set<std::string> known;
+      for (const auto& entry : core_.publisher().runners()) known.insert(entry.instanceId);
+      executor_.pool().sweep(known, now);
+    }
+    if (!reading_ && core_.isListReadDue(now)) {
+      reading_ = true;
+      asio::co_spawn(control_,
+                     readRunners(reader_, reading_,
+                                 [this](std::vector<schema::RunnerEntry> runners, base::TimePoint askedAt) {
+                                   router::RouterEffects after;
+                                   core_.onListRead(std::move(runners), askedAt, after);
+                                   apply(after);
+                                 }),
+                     asio::detached);
+    }
+    apply(effects);
+    return !isDone(now);
+  }
+
+  void reloadSettings(bool signalled) {
+    if (!watch_.check(signalled)) return;
+    core_.setSeeds(seedAddresses(watch_.current()));
+    table_.setBounds(boundsOf(watch_.current()));
+  }
+
+  // Not ready any more, but serving: the platform sends no new connections after a while, and each answer closes its
+  // connection.
+  void shutDown() {
+    if (shuttingDown_) return;
+    shuttingDown_ = true;
+    shutDownAt_ = base::Clock::now();
+    isReady_ = false;
+    executor_.shutDown(shutDownAt_ + graceOf(watch_.current()));
+    router::RouterEffects effects;
+    core_.leave(effects);
+    apply(effects);
+  }
+
+  bool isDone(base::TimePoint now) {
+    if (!shuttingDown_) return false;
+    const auto since = now - shutDownAt_;
+    const auto& s = watch_.current();
+    if (since > kDelisted) executor_.closeIdleConnections();
+    const bool idle = since > kDelisted && executor_.counters().active == 0;
+    if (!idle && since < graceOf(s)) return false;
+    io_.stop();
+    return true;
+  }
+
+  SettingsWatch watch_;
+  std::uint64_t seed_;
+  std::size_t workers_;
+  asio::io_context io_;
+  asio::strand<asio::io_context::executor_type> control_;
+  router::RouterCore core_;
+  base::Journal<routing::Event, routing::RoutingSnapshot> journal_;
+  routing::Table table_;
+  proxy::Executor executor_;
+  http::tcp::acceptor acceptor_;
+  http::Server readiness_;
+  net::Link link_;
+  runners::Reader reader_;
+  std::atomic<bool> isReady_{false};
+  std::atomic<std::int64_t> unconfirmedMs_{0};
+  bool shuttingDown_ = false, reading_ = false;
+  base::TimePoint shutDownAt_{}, settingsCheckedAt_{};
+};
+
+}  // namespace
+
+int runRouter(const settings::Settings& settings, const std::string& settingsPath) {
+  std::signal(SIGPIPE, SIG_IGN);
+  return RouterDaemon(settings, settingsPath).run();
+}
+
+}  // namespace indigohill::cli
--- a/src/control/campaign.hpp
+++ b/src/control/campaign.hpp
@@ -5,15 +5,12 @@
 #include <string>
 #include <vector>
 
+#include "base/fwd.hpp"
 #include "base/time.hpp"
 #include "control/cluster_view.hpp"
 #include "control/effects.hpp"
 #include "schema/messages.hpp"
 
-namespace indigohill::base {
-class Fingerprint;
-}
-
 // The candidate's side of the agreement on one epoch record: the proposer of single-decree Paxos, and before it the
 // installation of the control state at the backups that the record names. The steps, in order:
 //
--- a/src/control/controller.cpp
+++ b/src/control/controller.cpp
@@ -1,7 +1,5 @@
 #include "control/controller.hpp"
 
-#include <fmt/format.h>
-
 #include <algorithm>
 
 #include "base/lists.hpp"
@@ -9,24 +7,30 @@
 
 namespace indigohill::control {
 
+using base::LogEvent;
+
 namespace {
+
 constexpr std::uint64_t kWatermarkStep = 1u << 19;  // half of what each founding sets aside
+constexpr base::Millis kLeaveNotice{300};           // for the others to hear that this daemon leaves
+
 }  // namespace
 
-Controller::Controller(Self self, Identity identity, std::vector<settings::Endpoint> seeds, Tuning tuning,
+Controller::Controller(Self self, Identity identity, std::vector<settings::Endpoint> seeds, Options options,
                        std::uint64_t seed)
     : self_(std::move(self)),
-      tuning_(tuning),
-      group_({self_.nodeName + "/controller", identity.voterId, self_.zone, membership::Role::Controller, self_.cohort},
-             seeds, tuning.group, seed),
-      replica_({identity.voterId, self_.cohort, tuning.faultTolerance}, identity.loaded, tuning.replica, seed + 1),
-      leadership_(tuning.replica.heartbeatInterval),
-      publisher_(tuning.feed),
-      stateSubscriber_(tuning.feed, seed, feed::Subscriber::Rotate::WhenSilent),
-      runnerSubscriber_(tuning.feed, ~seed, feed::Subscriber::Rotate::WhenSilent) {
-  group_.setSeeds(known(seeds));
+      options_(options),
+      group_(
+          {self_.nodeName + "/controller", identity.voterId, self_.zone, membership::Role::Controller, self_.address},
+          seeds, options.group, seed),
+      replica_({identity.voterId, self_.address, options.faultTolerance}, identity.loaded, options.replica, seed + 1),
+      leadership_(options.replica.heartbeatInterval),
+      publisher_(options.feed),
+      stateSubscriber_(options.feed, seed, feed::Subscriber::Rotate::WhenSilent),
+      runnerSubscriber_(options.feed, ~seed, feed::Subscriber::Rotate::WhenSilent),
+      storedWatermark_(identity.watermark) {
+  setSeeds(std::move(seeds));
   group_.setWatermark(identity.watermark);
-  watermarkKept_ = identity.watermark;
   if (identity.loaded.record) {
     group_.setVoters(identity.loaded.record->epoch, identity.loaded.record->voters);
     group_.setAccepted(*identity.loaded.record, {});
@@ -35,42 +39,42 @@
 }
 
 // Where the group may be found: besides the seeds, which may all have been lost together, at the voters that the disk
-// tells of. A voter's name begins with its address, and the cohort's ports are alike everywhere.
-std::vector<settings::Endpoint> Controller::known(std::vector<settings::Endpoint> seeds) const {
+// tells of. A voter id begins with an address, and the ports between daemons are alike everywhere.
+std::vector<settings::Endpoint> Controller::withVoters(std::vector<settings::Endpoint> seeds) const {
   if (!replica_.record()) return seeds;
   for (const auto& voter : replica_.record()->voters) {
     const auto address = settings::parseEndpoint(voter.substr(0, voter.find('/')));
-    if (base::errorIn(address)) continue;
-    const settings::Endpoint at{std::get<settings::Endpoint>(address).ip, self_.cohort.port};
+    if (base::errorIn(address) != nullptr) continue;
+    const settings::Endpoint at{std::get<settings::Endpoint>(address).ip, self_.address.port};
     if (!base::contains(seeds, at)) seeds.push_back(at);
   }
   return seeds;
 }
 
-void Controller::setSeeds(std::vector<settings::Endpoint> seeds) { group_.setSeeds(known(std::move(seeds))); }
+void Controller::setSeeds(std::vector<settings::Endpoint> seeds) { group_.setSeeds(withVoters(std::move(seeds))); }
 
-ClusterView Controller::around() const {
+ClusterView Controller::clusterView() const {
   ClusterView out;
   out.leaseUntil = group_.leaseUntil();
   if (!group_.view()) return out;
   out.voters = group_.view()->voters;
-  for (const auto& m : group_.view()->members)
-    if (m.role == static_cast<std::uint8_t>(membership::Role::Controller)) out.controllers.push_back(m);
+  for (const auto& member : group_.view()->members)
+    if (membership::isController(member)) out.controllers.push_back(member);
   return out;
 }
 
 void Controller::tick(base::TimePoint now, Effects& effects) {
   group_.tick(now, effects.out);
-  replica_.tick(now, around(), effects);
+  replica_.tick(now, clusterView(), effects);
   publisher_.tick(now, effects.out);
-  considerLeaving(now, effects);
-  settle(now, effects);
+  considerLeavingGroup(now, effects);
+  publishChanges(now, effects);
 }
 
 void Controller::receive(const schema::Message& message, const settings::Endpoint& from, base::TimePoint now,
                          Effects& effects) {
-  if (const auto* ask = std::get_if<schema::Poll>(&message)) {
-    publisher_.receive(*ask, from, now, effects.out);
+  if (const auto* poll = std::get_if<schema::Poll>(&message)) {
+    publisher_.receive(*poll, from, now, effects.out);
     return;
   }
   if (const auto* update = std::get_if<schema::Update>(&message)) {
@@ -83,7 +87,7 @@
     group_.receive(message, from, now, effects.out);
     replica_.receive(message, from, now, effects);
   }
-  settle(now, effects);
+  publishChanges(now, effects);
 }
 
 void Controller::receiveUpdate(const schema::Update& update, base::TimePoint now) {
@@ -94,33 +98,33 @@
     for (const auto& state : content.states)
       if (publisher_.setState(state)) group_.setStateVersion(state.version);
     if (stateAnsweredAt) publisher_.compare(update);
-    // The answerer's age is carried on, so daemons that ask each other confirm nothing among themselves.
-    if (stateAnsweredAt && update.stateAgeMs < feed::kUnknownAgeMs && stateVersion() >= update.stateVersion)
+    // The answerer's age is carried on, so daemons that poll each other confirm nothing among themselves.
+    if (stateAnsweredAt && update.stateAgeMs < feed::kUnknownAgeMs && publisher_.stateVersion() >= update.stateVersion)
       publisher_.confirmAt(*stateAnsweredAt - base::Millis(update.stateAgeMs));
   }
   const auto listedAt = runnersAnsweredAt ? *runnersAnsweredAt - base::Millis(update.runnersAgeMs) : base::TimePoint{};
-  publisher_.takeRunners(update, content, listedAt);
+  publisher_.applyRunners(update, content, listedAt);
 }
 
 // What is published here was the newest at the moment until which nobody else led. A round begins only once all that
 // was acknowledged here is published.
 void Controller::checkLeadership(base::TimePoint now, net::Outbox& out) {
   if (!replica_.active(now) || !group_.view()) return;
-  if (!replica_.published() || stateVersion() < replica_.published()->version) return;
+  if (!replica_.published() || publisher_.stateVersion() < replica_.published()->version) return;
   const auto& record = *replica_.record();
   const auto round = leadership_.nextRound(record.epoch, now);
   if (!round) return;
   if (replica_.confirms(record.epoch)) leadership_.confirm(replica_.voterId(), *round, record.epoch, record.voters);
   for (const auto& member : group_.view()->members)
     if (member.voterId != replica_.voterId() && base::contains(record.voters, member.voterId))
-      out.push_back({{member.ip, member.port}, schema::ConfirmEpoch{replica_.voterId(), *round, record.epoch}});
+      out.push_back({membership::addressOf(member), schema::ConfirmEpoch{replica_.voterId(), *round, record.epoch}});
   publisher_.confirmAt(leadership_.confirmedAt());
 }
 
 void Controller::onDiskWrite(std::uint64_t token, bool ok, base::TimePoint now, Effects& effects) {
-  if (!ok) effects.notes.push_back("the disk refuses to write");
+  if (!ok) effects.log.push_back(LogEvent("disk_write_failed"));
   replica_.onDiskWrite(token, ok, now, effects);
-  settle(now, effects);
+  publishChanges(now, effects);
 }
 
 void Controller::submit(Order order, base::TimePoint now, Effects& effects) {
@@ -128,98 +132,122 @@
   if (order.kind == OrderKind::DeclareRollout || order.kind == OrderKind::AdvanceRollout)
     order.runners = publisher_.runners();
   replica_.submit(std::move(order), now, effects);
-  settle(now, effects);
+  publishChanges(now, effects);
 }
 
-// Frames come from the primary, runners from the holder of that duty.
-void Controller::askForNews(base::TimePoint now, net::Outbox& out) {
+// The state comes from the primary, the list of runners from the discovery leader.
+void Controller::poll(base::TimePoint now, net::Outbox& out) {
   if (const auto primary = replica_.primaryAddress(); primary && !replica_.active(now))
-    stateSubscriber_.tick(now, {*primary}, stateVersion(), feed::kNothingWanted, out);
-  if (group_.view() && !group_.isDiscoveryLeader())
-    for (const auto& m : group_.view()->members)
-      if (m.incarnation == group_.view()->discoveryLeader)
-        runnerSubscriber_.tick(now, {{m.ip, m.port}}, feed::kNothingWanted, publisher_.askRunners(), out);
-}
-
-// After anything that may have moved the group or the control state: what is in force goes to those that ask.
-void Controller::settle(base::TimePoint now, Effects& effects) {
-  if (replica_.published() && publisher_.setState(*replica_.published())) {
-    const auto& state = *replica_.published();
-    effects.notes.push_back(fmt::format("configuration {} in force (epoch {}, sequence {})", state.revision,
-                                        state.version.epoch, state.version.sequence));
-    group_.setStateVersion(state.version);
-  }
+    stateSubscriber_.tick(now, {*primary}, publisher_.stateVersion(), feed::kNothingWanted, out);
+  if (!group_.view() || group_.isDiscoveryLeader()) return;
+  if (const auto* leader = membership::findMember(*group_.view(), group_.view()->discoveryLeader))
+    runnerSubscriber_.tick(now, {membership::addressOf(*leader)}, feed::kNothingWanted,
+                           publisher_.runnerList().versionToRequest(), out);
+}
+
+// After anything that may have moved the group or the control state: what is in force goes to the subscribers.
+void Controller::publishChanges(base::TimePoint now, Effects& effects) {
+  publishState(effects);
+  passRecordToGroup(now, effects);
+  handleMembershipEvents(effects);
+  if (const auto holder = group_.flushFrom())
+    effects.out.push_back({*holder, schema::Poll{0, publisher_.stateVersion(), feed::kNothingWanted}});
+  checkLeadership(now, effects.out);
+  publisher_.publish(now, effects.out);
+  poll(now, effects.out);
+}
+
+void Controller::publishState(Effects& effects) {
+  if (!replica_.published() || !publisher_.setState(*replica_.published())) return;
+  const auto& state = *replica_.published();
+  effects.log.push_back(LogEvent("configuration_in_force")
+                            .with("revision", state.revision)
+                            .with("epoch", state.version.epoch)
+                            .with("sequence", state.version.sequence));
+  group_.setStateVersion(state.version);
+}
+
+void Controller::passRecordToGroup(base::TimePoint now, Effects& effects) {
   if (const auto& record = replica_.record()) {
-    if (record->epoch != notedEpoch_) {
-      notedEpoch_ = record->epoch;
-      effects.notes.push_back(fmt::format("epoch {}: primary {}, backups {}; {} voters", record->epoch, record->primary,
-                                          fmt::join(record->backups, " "), record->voters.size()));
+    if (record->epoch != loggedEpoch_) {
+      loggedEpoch_ = record->epoch;
+      effects.log.push_back(LogEvent("epoch_decided")
+                                .with("epoch", record->epoch)
+                                .with("primary", record->primary)
+                                .with("backups", record->backups)
+                                .with("voters", record->voters));
     }
     group_.setVoters(record->epoch, record->voters);
   }
   if (const auto* accepted = replica_.accepted()) group_.setAccepted(*accepted, now);
-  for (const auto& delivered : group_.takeEvents()) {
-    if (!delivered.view) {
-      effects.notes.push_back("left the group, told dead; joining again");
+}
+
+void Controller::handleMembershipEvents(Effects& effects) {
+  for (const auto& event : group_.takeEvents()) {
+    if (!event.view) {
+      effects.log.push_back(LogEvent("expelled_from_view"));
       continue;
     }
-    effects.notes.push_back(fmt::format("view {}: {} members, incarnation {}{}", delivered.view->number,
-                                        delivered.view->members.size(), group_.incarnation(),
-                                        group_.isDiscoveryLeader() ? ", reads the list of runners" : ""));
-    if (!replica_.voterId().empty() && (group_.watermark() > watermarkKept_ + kWatermarkStep || watermarkKept_ == 0)) {
-      watermarkKept_ = group_.watermark();
-      effects.writes.push_back({0, Slot::Watermark, std::to_string(watermarkKept_)});
-    }
+    effects.log.push_back(LogEvent("view_installed")
+                              .with("view", event.view->number)
+                              .with("members", event.view->members.size())
+                              .with("incarnation", group_.incarnation())
+                              .with("discoveryLeader", event.view->discoveryLeader));
+    keepWatermark(effects);
   }
-  if (const auto holder = group_.flushFrom())
-    effects.out.push_back({*holder, schema::Poll{0, stateVersion(), feed::kNothingWanted}});
-  checkLeadership(now, effects.out);
-  publisher_.publish(now, effects.out);
-  askForNews(now, effects.out);
 }
 
-bool Controller::readingDue(base::TimePoint now) {
-  if (!group_.isDiscoveryLeader() || !group_.leaseHeld(now) || leftGroup_ || now - readAt_ < tuning_.listPeriod)
-    return false;
-  readAt_ = now;
+void Controller::keepWatermark(Effects& effects) {
+  if (replica_.voterId().empty()) return;
+  if (storedWatermark_ != 0 && group_.watermark() <= storedWatermark_ + kWatermarkStep) return;
+  storedWatermark_ = group_.watermark();
+  effects.writes.push_back({0, Slot::Watermark, std::to_string(storedWatermark_)});
+}
+
+bool Controller::isListReadDue(base::TimePoint now) {
+  if (!group_.isDiscoveryLeader() || !group_.leaseHeld(now) || leftGroup_) return false;
+  if (now - listReadAt_ < options_.listReadInterval) return false;
+  listReadAt_ = now;
   return true;
 }
 
-void Controller::listed(std::vector<schema::RunnerEntry> runners, base::TimePoint askedAt, base::TimePoint now,
-                        Effects& effects) {
+void Controller::onListRead(std::vector<schema::RunnerEntry> runners, base::TimePoint askedAt, base::TimePoint now,
+                            Effects& effects) {
   if (!group_.view() || !group_.isDiscoveryLeader()) return;
-  auto version = publisher_.runnersVersion();
+  const auto& list = publisher_.runnerList();
+  auto version = list.version();
   std::sort(runners.begin(), runners.end(), [](const auto& a, const auto& b) { return a.instanceId < b.instanceId; });
-  const auto between = std::chrono::duration_cast<base::Millis>(askedAt - publisher_.listedAt());
+  const auto between = std::chrono::duration_cast<base::Millis>(askedAt - list.listedAt());
   // Versions rise with the view that made this daemon the reader, so a later reader's always count as newer.
-  if (!publisher_.hasRunners() || !runners::sameRunners(publisher_.runners(), runners, between))
+  if (!list.isKnown() || !runners::sameRunners(list.runners(), runners, between))
     version = {group_.view()->number, version.epoch == group_.view()->number ? version.sequence + 1 : 1};
   if (publisher_.setRunners(version, std::move(runners), askedAt))
-    effects.notes.push_back(fmt::format("list of runners: {} of them (version {}.{})", publisher_.runners().size(),
-                                        version.epoch, version.sequence));
-  settle(now, effects);
+    effects.log.push_back(LogEvent("runners_listed")
+                              .with("runners", list.runners().size())
+                              .with("view", version.epoch)
+                              .with("sequence", version.sequence));
+  publishChanges(now, effects);
 }
 
-void Controller::leave(base::TimePoint now, Effects& effects) {
-  if (leaving_) return;
-  leaving_ = true;
-  leavingSince_ = now;
+void Controller::shutDown(base::TimePoint now, Effects& effects) {
+  if (shuttingDown_) return;
+  shuttingDown_ = true;
+  shuttingDownSince_ = now;
   replica_.retire(now, effects);
-  effects.notes.push_back("leaving in order");
-  considerLeaving(now, effects);
+  effects.log.push_back(LogEvent("shutdown_started"));
+  considerLeavingGroup(now, effects);
 }
 
-void Controller::considerLeaving(base::TimePoint now, Effects& effects) {
-  if (!leaving_ || leftGroup_) return;
-  if (!replica_.mayRetire(now) && now - leavingSince_ < tuning_.grace / 2) return;
+void Controller::considerLeavingGroup(base::TimePoint now, Effects& effects) {
+  if (!shuttingDown_ || leftGroup_) return;
+  const bool replaced = replica_.mayRetire(now);
+  if (!replaced && now - shuttingDownSince_ < options_.gracePeriod / 2) return;
   leftGroup_ = true;
-  leftAt_ = now;
+  leftGroupAt_ = now;
   group_.leave(effects.out);
-  effects.notes.push_back(replica_.mayRetire(now) ? "left the group"
-                                                  : "left the group, and nobody has taken its place");
+  effects.log.push_back(LogEvent("left_group").with("replaced", replaced));
 }
 
-// The others are given time to hear of it.
-bool Controller::left(base::TimePoint now) const { return leftGroup_ && now - leftAt_ >= base::Millis(300); }
+bool Controller::isShutDown(base::TimePoint now) const { return leftGroup_ && now - leftGroupAt_ >= kLeaveNotice; }
 
 }  // namespace indigohill::control
--- a/src/control/effects.hpp
+++ b/src/control/effects.hpp
@@ -3,6 +3,7 @@
 #include <string>
 #include <vector>
 
+#include "base/log_event.hpp"
 #include "control/order.hpp"
 #include "net/codec.hpp"
 
@@ -22,9 +23,9 @@
 
 struct Effects {
   net::Outbox out;
-  std::vector<DiskWrite> writes;   // to be made in this order
-  std::vector<Answer> answers;     // to operators
-  std::vector<std::string> notes;  // for the log
+  std::vector<DiskWrite> writes;  // to be made in this order
+  std::vector<Answer> answers;    // to operators
+  std::vector<base::LogEvent> log;
 };
 
 // A message to a replica that is named, not addressed. It may be the sender itself.
--- a/src/control/epoch_acceptor.hpp
+++ b/src/control/epoch_acceptor.hpp
@@ -1,13 +1,10 @@
 #pragma once
 #include <cstdint>
 
+#include "base/fwd.hpp"
 #include "base/time.hpp"
 #include "schema/messages.hpp"
 
-namespace indigohill::base {
-class Fingerprint;
-}
-
 // The voter's side of the agreement on epoch records: an acceptor of single-decree Paxos for each slot (Lamport, "Paxos
 // Made Simple", section 2.2). The record of epoch e+1 is the decree of slot e+1, voted on by the voters of epoch e.
 //
--- a/src/control/member_tracker.hpp
+++ b/src/control/member_tracker.hpp
@@ -3,15 +3,12 @@
 #include <optional>
 #include <string>
 
+#include "base/fwd.hpp"
 #include "base/time.hpp"
 #include "control/cluster_view.hpp"
 #include "schema/messages.hpp"
 #include "settings/settings.hpp"
 
-namespace indigohill::base {
-class Fingerprint;
-}
-
 // What a replica has observed of the other controllers: who is missing, unresponsive, new or retiring, and where each
 // was last seen. All of it is a hint for the choice of voters and backups; no agreement rests on it.
 namespace indigohill::control {
--- a/src/control/order.hpp
+++ b/src/control/order.hpp
@@ -3,14 +3,11 @@
 #include <string>
 #include <vector>
 
+#include "base/fwd.hpp"
 #include "base/time.hpp"
 #include "schema/messages.hpp"
 #include "settings/settings.hpp"
 
-namespace indigohill::base {
-class Fingerprint;
-}
-
 // An operator's order and its answer.
 namespace indigohill::control {
 
--- a/src/control/pending_answers.hpp
+++ b/src/control/pending_answers.hpp
@@ -5,13 +5,10 @@
 #include <string>
 #include <vector>
 
+#include "base/fwd.hpp"
 #include "base/time.hpp"
 #include "control/order.hpp"
 
-namespace indigohill::base {
-class Fingerprint;
-}
-
 // Answers that write nothing (reads, refusals, "already in force"), held back until a majority of the voters has
 // confirmed, after the order came, that it has accepted no later epoch record. Then no later record had been decided
 // when the answer was made, so the state that it rests on was the newest.
--- a/src/control/primary_monitor.hpp
+++ b/src/control/primary_monitor.hpp
@@ -1,15 +1,12 @@
 #pragma once
 #include <optional>
 
+#include "base/fwd.hpp"
 #include "base/time.hpp"
 #include "control/cluster_view.hpp"
 #include "control/replica_times.hpp"
 #include "schema/messages.hpp"
 
-namespace indigohill::base {
-class Fingerprint;
-}
-
 // What a replica knows of the primary of the epoch in force, and when a backup should take over from it.
 namespace indigohill::control {
 
--- a/src/control/state_replication.hpp
+++ b/src/control/state_replication.hpp
@@ -5,15 +5,12 @@
 #include <string>
 #include <vector>
 
+#include "base/fwd.hpp"
 #include "base/time.hpp"
 #include "control/effects.hpp"
 #include "control/order.hpp"
 #include "schema/messages.hpp"
 
-namespace indigohill::base {
-class Fingerprint;
-}
-
 // The control state of one replica, and the write by which a primary replicates the next one: it is in force once it is
 // on the primary's disk and on the disk of every backup of the epoch. One write at a time.
 namespace indigohill::control {
--- a/src/feed/fwd.hpp
+++ /dev/null
@@ -1,8 +0,0 @@
-#pragma once
-
-namespace indigohill::feed {
-class Publisher;
-class Subscriber;
-struct Arrived;
-class Follower;
-}  // namespace indigohill::feed
--- a/src/feed/publisher.cpp
+++ b/src/feed/publisher.cpp
@@ -1,292 +1,174 @@
 #include "feed/publisher.hpp"
 
-#include <fmt/format.h>
-
 #include <algorithm>
-#include <set>
-
-#include "base/hash.hpp"
 
 namespace indigohill::feed {
 
 namespace {
-constexpr std::size_t kChangesKept = 32;
-constexpr std::uint32_t kTellTries = 4;  // beyond that the asker is taken to be gone; its next ask begins anew
 
-std::uint64_t digestOf(const std::vector<schema::RunnerEntry>& runners) {
-  std::uint64_t sum = runners.size();
-  for (const auto& e : runners) {
-    sum = base::hash(fmt::format("{} {} {} {} {} {} {} {} {} {}", e.instanceId, e.service, e.zone, e.ip, e.port,
-                                 e.slots, e.draining, e.warmupLeftMs, e.revision, e.models.size()),
-                     sum);
-    for (const auto& model : e.models) {
-      sum = base::hash(fmt::format("{} {} {}", model.name, model.revision, model.adapters.size()), sum);
-      for (const auto& adapter : model.adapters) sum = base::hash(adapter, sum);
-    }
-  }
-  return sum;
-}
+constexpr std::uint32_t kMaxSends = 4;   // beyond that the subscriber is taken to be gone until it polls again
+constexpr int kSubscriptionLife = 3;     // in long-poll time-outs
+constexpr int kUnconfirmedInterval = 2;  // in long-poll time-outs, between two answers that confirm nothing
 
-// How long what does not fit a datagram may be under way, on a link of half a megabit a second.
+// How long what does not fit a datagram may be on its way, on a link of half a megabit a second.
 base::Millis transferTime(std::size_t bytes) {
   constexpr std::size_t kDatagramBytes = 8000, kBytesPerMs = 64;
   return base::Millis(bytes <= kDatagramBytes ? 0 : bytes / kBytesPerMs);
 }
 
-std::uint32_t ageMs(base::TimePoint since, base::TimePoint now) {
-  const auto age = std::chrono::duration_cast<base::Millis>(now - since).count();
-  return static_cast<std::uint32_t>(std::clamp<std::int64_t>(age, 0, kUnknownAgeMs));
-}
+}  // namespace
 
-// Of all but the digests of orders, which the primary keeps to itself.
-std::uint64_t digestOf(schema::ControlState state) {
-  state.takenOrders.clear();
-  return base::hash(net::encodeControlState(state));
+schema::UpdateContent contentOf(const schema::Update& update) {
+  if (update.content.empty()) return {};
+  auto content = net::decodeUpdateContent(update.content);
+  return base::errorIn(content) != nullptr ? schema::UpdateContent{} : std::get<0>(std::move(content));
 }
-}  // namespace
 
 bool Publisher::setState(const schema::ControlState& state) {
-  if ((state_ && state.version <= state_->version) || state.version < floor_) return false;
-  state_ = state;
-  contents_.clear();
-  frameDigest_ = digestOf(state);
-  digestMismatch_ = false;
+  if (!state_.set(state)) return false;
+  encodedContents_.clear();
   return true;
 }
 
-void Publisher::compare(const schema::Update& news) {
-  if (confirms(news) && state_ && news.stateVersion == state_->version && news.stateDigest != frameDigest_)
-    digestMismatch_ = true;
+void Publisher::compare(const schema::Update& update) {
+  if (confirms(update)) state_.compare(update);
 }
 
 bool Publisher::setRunners(const schema::StateVersion& version, std::vector<schema::RunnerEntry> runners,
                            base::TimePoint listedAt) {
-  if (hasRunners_ && version < runnersStamp_) return false;
-  listedAt_ = std::max(listedAt_, listedAt);
-  if (hasRunners_ && version == runnersStamp_) return false;
-  // In order of the ids, so that everybody who holds a version holds the same.
-  const auto byId = [](const auto& a, const auto& b) { return a.instanceId < b.instanceId; };
-  std::sort(runners.begin(), runners.end(), byId);
-  if (hasRunners_) {
-    Change change{runnersStamp_, {}};
-    std::size_t i = 0, j = 0;
-    while (i < runners_.size() || j < runners.size()) {
-      if (j == runners.size() || (i < runners_.size() && byId(runners_[i], runners[j]))) {
-        change.ids.push_back(runners_[i++].instanceId);
-      } else if (i == runners_.size() || byId(runners[j], runners_[i])) {
-        change.ids.push_back(runners[j++].instanceId);
-      } else {
-        if (!(runners_[i] == runners[j])) change.ids.push_back(runners[j].instanceId);
-        ++i;
-        ++j;
-      }
-    }
-    changes_.push_back(std::move(change));
-    if (changes_.size() > kChangesKept) changes_.pop_front();
-  }
-  runners_ = std::move(runners);
-  runnersDigest_ = digestOf(runners_);
-  runnersStamp_ = version;
-  hasRunners_ = true;
-  wholeWanted_ = false;
-  contents_.clear();
+  if (!runners_.set(version, std::move(runners), listedAt)) return false;
+  encodedContents_.clear();
   return true;
 }
 
-bool Publisher::takeRunners(const schema::Update& news, const schema::UpdateContent& content,
-                            base::TimePoint listedAt) {
-  if (!content.hasRunners) {
-    // The same version, seen again by the platform's reader.
-    if (hasRunners_ && news.runnersVersion == runnersStamp_) listedAt_ = std::max(listedAt_, listedAt);
-    return false;
-  }
-  if (hasRunners_ && news.runnersVersion <= runnersStamp_) {
-    wholeWanted_ = false;  // nobody has more
-    return false;
-  }
-  auto runners = content.runners;
-  if (content.runnersBase != schema::StateVersion{}) {
-    if (!hasRunners_ || content.runnersBase != runnersStamp_) {
-      wholeWanted_ = true;
-      return false;
-    }
-    std::set<std::string_view> changed(content.gone.begin(), content.gone.end());
-    for (const auto& entry : content.runners) changed.insert(entry.instanceId);
-    for (const auto& entry : runners_)
-      if (!changed.contains(entry.instanceId)) runners.push_back(entry);
-  }
-  std::sort(runners.begin(), runners.end(), [](const auto& a, const auto& b) { return a.instanceId < b.instanceId; });
-  if (digestOf(runners) != content.runnersDigest) {
-    wholeWanted_ = true;
-    return false;
-  }
-  return setRunners(news.runnersVersion, std::move(runners), listedAt);
-}
-
-// The changes since the asker's version, if this daemon has held that version and they are fewer than the list.
-void Publisher::putRunners(const schema::StateVersion& base, schema::UpdateContent& content) const {
-  content.hasRunners = true;
-  content.runnersDigest = runnersDigest_;
-  std::set<std::string_view> ids;
-  auto change = std::find_if(changes_.begin(), changes_.end(), [&](const auto& c) { return c.from == base; });
-  const bool known = change != changes_.end();
-  for (; change != changes_.end(); ++change) ids.insert(change->ids.begin(), change->ids.end());
-  if (!known || ids.size() >= runners_.size()) {
-    content.runners = runners_;
-    return;
-  }
-  content.runnersBase = base;
-  for (const auto& entry : runners_)
-    if (ids.erase(entry.instanceId) > 0) content.runners.push_back(entry);
-  content.gone.assign(ids.begin(), ids.end());
-}
-
-const std::string& Publisher::content(const schema::Poll& ask) const {
-  const bool stateToo = state_ && state_->version > ask.state;
-  const bool runnersToo = hasRunners_ && runnersStamp_ > ask.runners;
-  const auto [kept, isNew] =
-      contents_.try_emplace({stateToo, runnersToo, runnersToo ? ask.runners : schema::StateVersion{}});
-  if (!isNew) return kept->second;
-  schema::UpdateContent content;
-  if (stateToo) {
-    content.states.push_back(*state_);
-    // The digests are for the primary alone.
-    content.states.back().takenOrders.clear();
-  }
-  if (runnersToo) putRunners(ask.runners, content);
-  if (stateToo || runnersToo) kept->second = net::encodeUpdateContent(content);
-  return kept->second;
-}
-
-schema::UpdateContent contentOf(const schema::Update& news) {
-  if (news.content.empty()) return {};
-  auto content = net::decodeUpdateContent(news.content);
-  return base::errorIn(content) != nullptr ? schema::UpdateContent{} : std::get<0>(std::move(content));
-}
-
-bool Publisher::hasNews(const schema::Poll& ask) const {
-  return (state_ && state_->version > ask.state) || (hasRunners_ && runnersStamp_ > ask.runners);
-}
-
-std::uint32_t Publisher::stateAgeMs(base::TimePoint now) const {
-  if (!state_ || digestMismatch_ || confirmedAt_ == base::TimePoint{}) return kUnknownAgeMs;
-  return ageMs(confirmedAt_, now);
-}
-
-void Publisher::answer(const settings::Endpoint& to, Asker& asker, base::TimePoint now, net::Outbox& out) const {
-  asker.open = false;
-  asker.answeredAt = now;
-  asker.staleToldAt = confirmed(now) ? base::TimePoint{} : now;
-  schema::Update news;
-  news.token = asker.ask.token;
-  news.heldMs = ageMs(asker.at, now);
-  news.stateAgeMs = stateAgeMs(now);
-  if (state_) {
-    news.stateVersion = state_->version;
-    news.stateDigest = frameDigest_;
-  }
-  news.runnersVersion = runnersStamp_;
-  news.runnersAgeMs = hasRunners_ ? ageMs(listedAt_, now) : kUnknownAgeMs;
-  news.content = content(asker.ask);
-  asker.sentBytes = news.content.size();
-  out.push_back({to, std::move(news)});
-}
-
-// Whether a poll has waited long enough. A controller's last poll is answered again and again: each answer counts from
-// the time of that poll and how long ago it came, so that neither a lost answer nor a lost poll costs a confirmation.
-bool Publisher::pollDue(const Asker& asker, base::TimePoint now) const {
-  const bool relay = asker.ask.token != 0 && asker.ask.runners == kNothingWanted;
-  if (relay) return now - std::max(asker.at, asker.answeredAt) >= times_.relayHold;
-  return asker.open && now - asker.at >= times_.hold;
-}
-
-// An asker learns at once that nothing is confirmed here any more, so that it turns to another controller, and at once
-// that it is confirmed again. One that was told so lately waits: with nobody to confirm anything it would ask in turn
-// without a pause.
-bool Publisher::confirmationChanged(const Asker& asker, base::TimePoint now) const {
-  if (!state_ || asker.ask.token == 0 || asker.ask.state == kNothingWanted) return false;
-  if (confirmed(now)) return asker.staleToldAt != base::TimePoint{};
-  return asker.open && now - asker.staleToldAt >= 2 * times_.hold;
-}
-
-// Whether an asker that lacks something is to be told now: at once of what it was not sent yet, after a while again.
-bool Publisher::newsDue(Asker& asker, base::TimePoint now) const {
-  const bool newer = (state_ && state_->version > asker.state && state_->version > asker.ask.state) ||
-                     (hasRunners_ && runnersStamp_ > asker.runners && runnersStamp_ > asker.ask.runners);
-  // One version is under way to an asker and the newest comes next: once the asker shows that it has the one, or after
-  // the time in which it should have come.
-  if (newer) asker.tries = std::min(asker.tries, 1u);
-  if (asker.tries >= kTellTries) return false;
-  const auto patience = times_.repeat * (1 << std::max(0, static_cast<int>(asker.tries) - 1));
-  if (asker.tries > 0 && now - asker.sentAt < patience + transferTime(asker.sentBytes)) return false;
-  ++asker.tries;
-  asker.sentAt = now;
-  if (state_) asker.state = state_->version;
-  if (hasRunners_) asker.runners = runnersStamp_;
+bool Publisher::applyRunners(const schema::Update& update, const schema::UpdateContent& content,
+                             base::TimePoint listedAt) {
+  if (!runners_.apply(update, content, listedAt)) return false;
+  encodedContents_.clear();
   return true;
 }
 
-void Publisher::consider(const Key& key, Asker& asker, base::TimePoint now, net::Outbox& out) const {
-  const bool due = hasNews(asker.ask) ? newsDue(asker, now) : pollDue(asker, now);
-  if (due || confirmationChanged(asker, now)) answer(key.from, asker, now, out);
+Publisher::Key Publisher::keyOf(const settings::Endpoint& from, const schema::Poll& poll) {
+  const unsigned kind = (poll.state == kNothingWanted ? 1U : 0U) | (poll.runners == kNothingWanted ? 2U : 0U) |
+                        (poll.token == 0 ? 4U : 0U);
+  return {from, static_cast<std::uint8_t>(kind)};
 }
 
-void Publisher::receive(const schema::Poll& ask, const settings::Endpoint& from, base::TimePoint now,
+void Publisher::receive(const schema::Poll& poll, const settings::Endpoint& from, base::TimePoint now,
                         net::Outbox& out) {
-  const Key key{from, static_cast<std::uint8_t>((ask.state == kNothingWanted ? 1 : 0) |
-                                                (ask.runners == kNothingWanted ? 2 : 0) | (ask.token == 0 ? 4 : 0))};
-  auto& asker = askers_[key];
-  const auto staleToldAt = asker.staleToldAt;
-  asker = Asker{};
-  asker.ask = ask;
-  asker.at = now;
-  asker.staleToldAt = staleToldAt;
-  consider(key, asker, now, out);
+  const auto key = keyOf(from, poll);
+  auto& subscription = subscriptions_[key];
+  const auto unconfirmedSentAt = subscription.unconfirmedSentAt;
+  subscription = Subscription{};
+  subscription.poll = poll;
+  subscription.polledAt = now;
+  subscription.unconfirmedSentAt = unconfirmedSentAt;
+  considerAnswer(key, subscription, now, out);
 }
 
 void Publisher::tick(base::TimePoint now, net::Outbox& out) {
-  // At a pace: what comes again may be digestMismatch again.
-  if (digestMismatch_ && state_ && now - givenUpAt_ >= times_.again) {
-    givenUpAt_ = now;
-    floor_ = state_->version;
-    state_.reset();
-    confirmedAt_ = {};
-    contents_.clear();
-  }
+  if (state_.dropMismatched(now, times_.retryInterval)) encodedContents_.clear();
   publish(now, out);
-  std::erase_if(askers_, [&](const auto& entry) { return now - entry.second.at > 3 * times_.hold; });
+  std::erase_if(subscriptions_, [&](const auto& entry) {
+    return now - entry.second.polledAt > kSubscriptionLife * times_.longPollTimeout;
+  });
 }
 
 void Publisher::publish(base::TimePoint now, net::Outbox& out) {
-  for (auto& [key, asker] : askers_) consider(key, asker, now, out);
-}
-
-void Subscriber::tick(base::TimePoint now, const std::vector<settings::Endpoint>& targets,
-                      const schema::StateVersion& state, const schema::StateVersion& runners, net::Outbox& out) {
-  if (targets.empty()) return;
-  const bool never = answeredAt_ == base::TimePoint{};
-  if (waiting_ && now - askedAt_ < (never ? times_.first : times_.again)) return;
-  // Silence, or an answer that was not confirmed: the next daemon is asked.
-  if (waiting_ || rotate_) ++target_;
-  rotate_ = false;
-  waiting_ = true;
-  askedAt_ = now;
-  ++token_;
-  recent_.push_back({token_, now});
-  out.push_back({targets[target_ % targets.size()], schema::Poll{token_, state, runners}});
+  for (auto& [key, subscription] : subscriptions_) considerAnswer(key, subscription, now, out);
+}
+
+void Publisher::considerAnswer(const Key& key, Subscription& subscription, base::TimePoint now, net::Outbox& out) {
+  bool due = false;
+  if (hasUpdateFor(subscription.poll)) {
+    // One version is on its way to a subscriber and the newest comes next: once the subscriber shows that it has the
+    // one, or after the time in which it should have come.
+    if (hasNewerThanSent(subscription)) subscription.sends = std::min(subscription.sends, 1U);
+    due = isUpdateDue(subscription, now);
+    if (due) noteSend(subscription, now);
+  } else {
+    due = isPollDue(subscription, now);
+  }
+  if (due || isConfirmationChanged(subscription, now)) answer(key.from, subscription, now, out);
 }
 
-std::optional<base::TimePoint> Subscriber::receive(const schema::Update& news, base::TimePoint now) {
-  while (!recent_.empty() && now - recent_.front().sentAt > 2 * times_.again) recent_.pop_front();
-  const auto poll =
-      std::find_if(recent_.begin(), recent_.end(), [&](const SentPoll& sent) { return sent.token == news.token; });
-  // Also by an update that was not asked for: a controller is up, holds polls, and must be given the time to answer.
-  answeredAt_ = now;
-  if (poll == recent_.end()) return std::nullopt;
-  waiting_ = false;
-  const bool unconfirmed = base::Millis(news.stateAgeMs) >= times_.confirmedFor;
-  if (rotateWhen_ == Rotate::WhenUnconfirmed && unconfirmed && news.token == token_) rotate_ = true;
-  return std::min(now, poll->sentAt + base::Millis(news.heldMs));
+// Whether a poll has waited long enough. A controller's last poll is answered again and again: each answer counts from
+// the time of that poll and how long ago it came, so that neither a lost answer nor a lost poll costs a confirmation.
+bool Publisher::isPollDue(const Subscription& subscription, base::TimePoint now) const {
+  const auto& poll = subscription.poll;
+  const bool fromController = poll.token != 0 && poll.runners == kNothingWanted;
+  if (fromController)
+    return now - std::max(subscription.polledAt, subscription.answeredAt) >= times_.observerPollInterval;
+  return subscription.open && now - subscription.polledAt >= times_.longPollTimeout;
+}
+
+// A subscriber learns at once that nothing is confirmed here any more, so that it turns to another controller, and at
+// once that it is confirmed again. One that was told so lately waits: with nobody to confirm anything it would poll one
+// after the other without a pause.
+bool Publisher::isConfirmationChanged(const Subscription& subscription, base::TimePoint now) const {
+  const auto& poll = subscription.poll;
+  if (!state() || poll.token == 0 || poll.state == kNothingWanted) return false;
+  if (isConfirmed(now)) return subscription.unconfirmedSentAt != base::TimePoint{};
+  return subscription.open && now - subscription.unconfirmedSentAt >= kUnconfirmedInterval * times_.longPollTimeout;
+}
+
+bool Publisher::hasNewerThanSent(const Subscription& subscription) const {
+  const bool newerState = hasStateFor(subscription.poll) && state()->version > subscription.sentState;
+  return newerState ||
+         (runners_.isNewerThan(subscription.sentRunners) && runners_.isNewerThan(subscription.poll.runners));
+}
+
+// Whether a subscriber that lacks something is sent it now: at once what it was not sent yet, and again with a backoff.
+bool Publisher::isUpdateDue(const Subscription& subscription, base::TimePoint now) const {
+  if (subscription.sends >= kMaxSends) return false;
+  if (subscription.sends == 0) return true;
+  const auto backoff = times_.resendInterval * (1 << (subscription.sends - 1));
+  return now - subscription.sentAt >= backoff + transferTime(subscription.sentBytes);
+}
+
+void Publisher::noteSend(Subscription& subscription, base::TimePoint now) const {
+  ++subscription.sends;
+  subscription.sentAt = now;
+  if (state()) subscription.sentState = state()->version;
+  if (runners_.isKnown()) subscription.sentRunners = runners_.version();
+}
+
+void Publisher::answer(const settings::Endpoint& to, Subscription& subscription, base::TimePoint now,
+                       net::Outbox& out) {
+  subscription.open = false;
+  subscription.answeredAt = now;
+  subscription.unconfirmedSentAt = isConfirmed(now) ? base::TimePoint{} : now;
+  schema::Update update;
+  update.token = subscription.poll.token;
+  update.heldMs = ageMs(subscription.polledAt, now);
+  update.stateAgeMs = stateAgeMs(now);
+  if (state()) {
+    update.stateVersion = state()->version;
+    update.stateDigest = state_.digest();
+  }
+  update.runnersVersion = runners_.version();
+  update.runnersAgeMs = runners_.isKnown() ? ageMs(runners_.listedAt(), now) : kUnknownAgeMs;
+  update.content = encodedContent(subscription.poll);
+  subscription.sentBytes = update.content.size();
+  out.push_back({to, std::move(update)});
+}
+
+// The same for all subscribers that lack the same, so it is encoded once.
+const std::string& Publisher::encodedContent(const schema::Poll& poll) {
+  const bool withState = hasStateFor(poll);
+  const bool withRunners = runners_.isNewerThan(poll.runners);
+  const auto [entry, isNew] =
+      encodedContents_.try_emplace({withState, withRunners, withRunners ? poll.runners : schema::StateVersion{}});
+  if (!isNew) return entry->second;
+  schema::UpdateContent content;
+  if (withState) {
+    content.states.push_back(*state());
+    // The digests of orders are for the primary alone.
+    content.states.back().takenOrders.clear();
+  }
+  if (withRunners) runners_.addTo(content, poll.runners);
+  if (withState || withRunners) entry->second = net::encodeUpdateContent(content);
+  return entry->second;
 }
 
 }  // namespace indigohill::feed
--- a/src/hollow/daemon.cpp
+++ b/src/hollow/daemon.cpp
@@ -10,21 +10,6 @@
 // measured on one (measureRouter).
 constexpr std::size_t kJournalKept = 8;
 
-// The record names one backup or several, as the state of the code has it.
-template <class Record>
-bool isBackup(const Record& record, const std::string& voterId) {
-  if constexpr (requires { record.backups; })
-    return base::contains(record.backups, voterId);
-  else
-    return record.backup == voterId;
-}
-
-// Machines that may be lost at once with their disks, where the state of the code asks for them.
-template <class Tuning>
-void setLosses(Tuning& tuning, std::size_t losses) {
-  if constexpr (requires { tuning.faultTolerance; }) tuning.faultTolerance = losses;
-}
-
 }  // namespace
 
 Daemon::Daemon(const Place& place, const std::vector<Place>& seeds, const Disk& disk, bool first, std::size_t losses,
@@ -41,13 +26,14 @@
           return found == disk.end() ? std::nullopt : std::optional(found->second);
         },
         first, controls, place.control, seed, effects.writes);
-    control::Controller::Tuning tuning;
-    setLosses(tuning, losses);
+    control::Controller::Options options;
+    options.faultTolerance = losses;
     controller_ = std::make_unique<control::Controller>(control::Controller::Self{place.name, place.zone, place.cohort},
-                                                        std::move(identity), cohorts, tuning, seed + 1);
+                                                        std::move(identity), cohorts, options, seed + 1);
   } else {
-    follower_ = std::make_unique<feed::Follower>(feed::Follower::Self{place.name, place.zone, place.cohort}, cohorts,
-                                                 membership::Times{}, feed::Times{}, base::Millis(3000), seed, now);
+    router_ =
+        std::make_unique<router::RouterCore>(router::RouterCore::Self{place.name, place.zone, place.cohort}, cohorts,
+                                             membership::Times{}, feed::Times{}, base::Millis(3000), seed, now);
     journal_ = std::make_unique<base::Journal<routing::Event, routing::RoutingSnapshot>>(routing::fold, kJournalKept);
     table_ = std::make_unique<routing::Table>(place.zone, routing::Bounds{}, seed + 1, now);
   }
@@ -62,8 +48,8 @@
     controller_->tick(now, output);
     perform(output, effects);
   } else {
-    feed::FollowerEffects followed;
-    follower_->tick(now, followed);
+    router::RouterEffects followed;
+    router_->tick(now, followed);
     perform(followed, now, effects);
   }
 }
@@ -75,8 +61,8 @@
     controller_->receive(message, from, now, output);
     perform(output, effects);
   } else {
-    feed::FollowerEffects followed;
-    follower_->receive(message, from, now, followed);
+    router::RouterEffects followed;
+    router_->receive(message, from, now, followed);
     perform(followed, now, effects);
   }
 }
@@ -101,25 +87,25 @@
   perform(output, effects);
 }
 
-bool Daemon::readingDue(base::TimePoint now) {
-  return controller_ ? controller_->readingDue(now) : follower_->readingDue(now);
+bool Daemon::isListReadDue(base::TimePoint now) {
+  return controller_ ? controller_->isListReadDue(now) : router_->isListReadDue(now);
 }
 
-void Daemon::listed(std::vector<schema::RunnerEntry> runners, base::TimePoint askedAt, base::TimePoint now,
-                    Output& effects) {
+void Daemon::onListRead(std::vector<schema::RunnerEntry> runners, base::TimePoint askedAt, base::TimePoint now,
+                        Output& effects) {
   if (controller_) {
     control::Effects output;
-    controller_->listed(std::move(runners), askedAt, now, output);
+    controller_->onListRead(std::move(runners), askedAt, now, output);
     perform(output, effects);
   } else {
-    feed::FollowerEffects followed;
-    follower_->listed(std::move(runners), askedAt, followed);
+    router::RouterEffects followed;
+    router_->onListRead(std::move(runners), askedAt, followed);
     perform(followed, now, effects);
   }
 }
 
-void Daemon::tell(const schema::LoadNotice& demand, Output& effects) const {
-  if (follower_) follower_->tell(demand, effects.out);
+void Daemon::broadcast(const schema::LoadNotice& notice, Output& effects) const {
+  if (router_) router_->broadcast(notice, effects.out);
 }
 
 Role Daemon::role(base::TimePoint now) const {
@@ -128,7 +114,7 @@
   const auto& record = controller_->replica().record();
   const auto& self = controller_->replica().voterId();
   if (!record || !base::contains(record->voters, self)) return Role::Relay;
-  return isBackup(*record, self) ? Role::Backup : Role::Witness;
+  return base::contains(record->backups, self) ? Role::Backup : Role::Witness;
 }
 
 std::uint64_t Daemon::revision() const { return source().state() ? source().state()->revision : 0; }
@@ -139,10 +125,10 @@
   std::move(output.answers.begin(), output.answers.end(), std::back_inserter(effects.answers));
 }
 
-void Daemon::perform(feed::FollowerEffects& followed, base::TimePoint now, Output& effects) {
-  for (const auto& demand : followed.demands) table_->heard(demand, now);
+void Daemon::perform(router::RouterEffects& followed, base::TimePoint now, Output& effects) {
+  for (const auto& notice : followed.loadNotices) table_->heard(notice, now);
   for (auto& event : followed.events) table_->setSnapshot(journal_->append(std::move(event)), now);
-  table_->setLease(follower_->group().leaseUntil());
+  table_->setLease(router_->group().leaseUntil());
   std::move(followed.out.begin(), followed.out.end(), std::back_inserter(effects.out));
 }
 
--- a/src/hollow/daemon.hpp
+++ b/src/hollow/daemon.hpp
@@ -6,7 +6,7 @@
 
 #include "base/journal.hpp"
 #include "control/controller.hpp"
-#include "feed/follower.hpp"
+#include "router/router_core.hpp"
 #include "routing/table.hpp"
 
 // One hollow daemon: the real core of a router or a controller, without sockets, disk or clock. All that this part
@@ -75,25 +75,26 @@
   void replace(std::uint64_t call, std::uint64_t baseVersion, std::string document, base::TimePoint now,
                Output& effects);
   void update(std::uint64_t call, std::uint64_t baseVersion, std::string change, base::TimePoint now, Output& effects);
-  bool readingDue(base::TimePoint now);
-  void listed(std::vector<schema::RunnerEntry> runners, base::TimePoint askedAt, base::TimePoint now, Output& effects);
-  // Tells the other routers of a long prompt, as the executor does.
-  void tell(const schema::LoadNotice& demand, Output& effects) const;
+  bool isListReadDue(base::TimePoint now);
+  void onListRead(std::vector<schema::RunnerEntry> runners, base::TimePoint askedAt, base::TimePoint now,
+                  Output& effects);
+  // Sends a notice of load to the other routers, as the executor does.
+  void broadcast(const schema::LoadNotice& notice, Output& effects) const;
 
   Role role(base::TimePoint now) const;
   bool isDiscoveryLeader() const { return group().isDiscoveryLeader(); }
   bool holdsOffice(base::TimePoint now) const { return controller_ && controller_->replica().active(now); }
-  const membership::Group& group() const { return controller_ ? controller_->group() : follower_->group(); }
+  const membership::Group& group() const { return controller_ ? controller_->group() : router_->group(); }
   std::uint64_t revision() const;
-  schema::StateVersion runnersVersion() const { return source().runnersVersion(); }
+  schema::StateVersion runnersVersion() const { return source().runnerList().version(); }
 
  private:
-  const feed::Publisher& source() const { return controller_ ? controller_->source() : follower_->source(); }
+  const feed::Publisher& source() const { return controller_ ? controller_->publisher() : router_->publisher(); }
   void perform(control::Effects& output, Output& effects);
-  void perform(feed::FollowerEffects& followed, base::TimePoint now, Output& effects);
+  void perform(router::RouterEffects& followed, base::TimePoint now, Output& effects);
 
   std::unique_ptr<control::Controller> controller_;
-  std::unique_ptr<feed::Follower> follower_;
+  std::unique_ptr<router::RouterCore> router_;
   std::unique_ptr<base::Journal<routing::Event, routing::RoutingSnapshot>> journal_;
   std::unique_ptr<routing::Table> table_;
 };
--- a/src/hollow/fleet.cpp
+++ b/src/hollow/fleet.cpp
@@ -168,11 +168,11 @@
   auto& n = nodes_[i];
   if (!n.daemon || n.life != life) return;
   step(i, [this](Daemon& d, Output& effects) { d.tick(now_, effects); });
-  if (n.daemon->readingDue(now_)) {
+  if (n.daemon->isListReadDue(now_)) {
     ++n.totals.platformReads;
     at(now_ + kPlatformAnswer, [this, i, life, askedAt = now_] {
       if (nodes_[i].daemon && nodes_[i].life == life)
-        step(i, [&](Daemon& d, Output& effects) { d.listed(platform_, askedAt, now_, effects); });
+        step(i, [&](Daemon& d, Output& effects) { d.onListRead(platform_, askedAt, now_, effects); });
     });
   }
   at(now_ + Daemon::tickPeriod(n.place.isController), [this, i, life] { tickLoop(i, life); });
@@ -336,7 +336,7 @@
 void Fleet::drainRunner(std::size_t runner, bool is) { platform_[runner % platform_.size()].draining = is; }
 
 void Fleet::tell(std::size_t i, const schema::LoadNotice& demand) {
-  step(i, [&](Daemon& d, Output& effects) { d.tell(demand, effects); });
+  step(i, [&](Daemon& d, Output& effects) { d.broadcast(demand, effects); });
 }
 
 std::optional<std::size_t> Fleet::primary() const {
--- a/src/http/fwd.hpp
+++ /dev/null
@@ -1,7 +0,0 @@
-#pragma once
-
-namespace indigohill::http {
-class Client;
-class Server;
-struct Caller;
-}  // namespace indigohill::http
--- a/src/import/fwd.hpp
+++ /dev/null
@@ -1,5 +0,0 @@
-#pragma once
-
-namespace indigohill::import {
-struct Imported;
-}  // namespace indigohill::import
--- a/src/membership/fwd.hpp
+++ /dev/null
@@ -1,6 +0,0 @@
-#pragma once
-
-namespace indigohill::membership {
-class Group;
-struct Times;
-}  // namespace indigohill::membership
--- a/src/model/fwd.hpp
+++ /dev/null
@@ -1,7 +0,0 @@
-#pragma once
-
-namespace indigohill::model {
-struct Bounds;
-struct Statistics;
-class ReplicaModel;
-}  // namespace indigohill::model
--- a/src/net/fwd.hpp
+++ /dev/null
@@ -1,6 +0,0 @@
-#pragma once
-
-namespace indigohill::net {
-class Link;
-struct Outgoing;
-}  // namespace indigohill::net
--- a/src/net/link.cpp
+++ b/src/net/link.cpp
@@ -45,7 +45,7 @@
   auto message = decode(bytes);
   if (const auto* bad = base::errorIn(message)) {
     ++dropped_;
-    spdlog::warn("message from {} dropped: {}", settings::text(from), bad->what);
+    base::logWarning(base::LogEvent("message_dropped").with("from", settings::text(from)).with("error", bad->what));
     return;
   }
   receive_(std::get<schema::Message>(message), from);
@@ -95,7 +95,7 @@
     const auto limit = kCallLimit + base::Millis(request.body().size() / kSlowestBytesPerMs);
     auto result = co_await channel->client.call(std::move(request), limit);
     if (const auto* bad = base::errorIn(result)) {
-      spdlog::debug("message to {} lost: {}", settings::text(to), bad->what);
+      base::logDebug(base::LogEvent("message_lost").with("to", settings::text(to)).with("error", bad->what));
       channel->waiting.clear();
     }
   }
--- a/src/proxy/client_session.cpp
+++ b/src/proxy/client_session.cpp
@@ -106,7 +106,7 @@
       const IdleConnections::Scope idle(idle_, client);
       auto [error, bytes] = co_await client.async_read_some(buffer.prepare(8192), http::kTuple);
       // Closed at once: a request that crosses the close is never read, so its client may send it again.
-      if (error == asio::error::operation_aborted && leaving_) co_return;
+      if (error == asio::error::operation_aborted && shuttingDown_) co_return;
       if (error) break;
       buffer.commit(bytes);
     }
--- a/src/proxy/executor.cpp
+++ b/src/proxy/executor.cpp
@@ -129,7 +129,7 @@
   if (ending->cut) {
     // Cut visibly: without the last chunk, nobody takes this for a whole answer.
     ++counters_.cut;
-    spdlog::debug("stream {} cut: {}", exchange.attemptId, ending->why);
+    base::logDebug(base::LogEvent("stream_cut").with("id", exchange.attemptId).with("reason", ending->why));
     boost::system::error_code ignored;
     client.socket().set_option(asio::socket_base::linger(true, 0), ignored);
     client.close();
@@ -142,7 +142,10 @@
     co_return !error && exchange.failure->keep_alive();
   }
   ++(ending->status == 503 ? counters_.rejected : counters_.failed);
-  spdlog::debug("request {} ends with {}: {}", exchange.attemptId, ending->status, ending->why);
+  base::logDebug(base::LogEvent("request_rejected")
+                     .with("id", exchange.attemptId)
+                     .with("status", ending->status)
+                     .with("reason", ending->why));
   co_return co_await reply(exchange, ending->status, ending->why, ending->retryAfterS);
 }
 
--- a/src/proxy/executor.hpp
+++ b/src/proxy/executor.hpp
@@ -37,12 +37,12 @@
   void setTrafficLog(std::shared_ptr<spdlog::logger> log) { trafficLog_ = std::move(log); }
   // Begins the graceful shutdown: from now on every answer says that the connection closes, and a request that may
   // take longer than until `endsAt`, when the process ends, is rejected before it runs. Thread-safe.
-  void leave(base::TimePoint endsAt) {
+  void shutDown(base::TimePoint endsAt) {
     endsAt_ = endsAt;
-    leaving_ = true;
+    shuttingDown_ = true;
   }
   // Closes the connections that wait for a next request; for when no new ones come any more. Thread-safe.
-  void closeIdle() { idle_.cancelAll(); }
+  void closeIdleConnections() { idle_.cancelAll(); }
   const Counters& counters() const { return counters_; }
   Pool& pool() { return pool_; }
   RequestQueue& queue() { return queue_; }
@@ -61,9 +61,9 @@
                                                  http::wire::response_parser<http::wire::buffer_body>& parser);
   http::asio::awaitable<bool> reply(Exchange& exchange, int status, std::string body, double retryAfterS = 0);
   void record(const Exchange& exchange, base::TimePoint arrivedAt, int status, std::uint32_t tries) const;
-  bool keepAlive(const http::Request& request) const { return request.keep_alive() && !leaving_; }
+  bool keepAlive(const http::Request& request) const { return request.keep_alive() && !shuttingDown_; }
   // Whether a request with this deadline might still be under way when the process ends.
-  bool mayBeCutOff(base::TimePoint deadline) const { return leaving_ && deadline > endsAt_.load(); }
+  bool mayBeCutOff(base::TimePoint deadline) const { return shuttingDown_ && deadline > endsAt_.load(); }
 
   http::asio::any_io_executor executor_;
   routing::Table& table_;
@@ -72,7 +72,7 @@
   Counters counters_;
   std::shared_ptr<spdlog::logger> trafficLog_;
   IdleConnections idle_;
-  std::atomic<bool> leaving_{false};
+  std::atomic<bool> shuttingDown_{false};
   std::atomic<base::TimePoint> endsAt_{base::TimePoint::max()};
 };
 
--- a/src/rollout/fwd.hpp
+++ /dev/null
@@ -1,7 +0,0 @@
-#pragma once
-
-namespace indigohill::rollout {
-struct InForce;
-struct Record;
-struct Snapshot;
-}  // namespace indigohill::rollout
--- a/src/routing/cached_prompts.cpp
+++ b/src/routing/cached_prompts.cpp
@@ -46,14 +46,15 @@
     if (const auto* error = base::errorIn(held)) throw std::runtime_error(error->what);
     return static_cast<double>(std::get<0>(held));
   } catch (const std::exception& error) {
-    if (sharedPoolFailures_++ == 0) spdlog::warn("shared pool not asked, scoring by the index alone: {}", error.what());
+    if (sharedPoolFailures_++ == 0)
+      base::logWarning(base::LogEvent("shared_cache_lookup_failed").with("error", error.what()));
     return 0;
   }
 }
 
 // Logged once: where one look-up fails, many do.
 void CachedPrompts::countFailure(const char* what) {
-  if (failures_++ == 0) spdlog::warn("look-up of kept prompt parts failed, routing by load alone: {}", what);
+  if (failures_++ == 0) base::logWarning(base::LogEvent("prompt_index_lookup_failed").with("error", what));
 }
 
 }  // namespace indigohill::routing
--- a/src/runners/fwd.hpp
+++ /dev/null
@@ -1,6 +0,0 @@
-#pragma once
-
-namespace indigohill::runners {
-struct Page;
-class Lister;
-}  // namespace indigohill::runners
--- a/src/runners/list.cpp
+++ b/src/runners/list.cpp
@@ -85,7 +85,7 @@
   return page;
 }
 
-base::Millis listPeriod(const settings::Settings& s, std::size_t pages) {
+base::Millis listReadInterval(const settings::Settings& s, std::size_t pages) {
   const auto wanted = std::clamp(s.drainTimeoutMs / 6, base::Millis(100), base::Millis(1000));
   // The time in which the platform takes the calls of one reading, if nobody else called.
   const auto reading = 1000.0 * static_cast<double>(std::max<std::size_t>(1, pages)) / std::max(1.0, s.ratePerS);
--- a/src/settings/fwd.hpp
+++ /dev/null
@@ -1,7 +0,0 @@
-#pragma once
-
-namespace indigohill::settings {
-struct Endpoint;
-struct Ports;
-struct Settings;
-}  // namespace indigohill::settings
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -168,7 +168,7 @@
     return base::Error{base::Verdict::NotRun, wrong};
   if (auto own = parseEndpoint(out.ipAddress + ":1"); base::errorIn(own))
     return base::Error{base::Verdict::NotRun, "ipAddress: an IPv4 address is wanted, not '" + out.ipAddress + "'"};
-  if (!base::knownLevel(out.logLevel))
+  if (!base::isLogLevel(out.logLevel))
     return base::Error{base::Verdict::NotRun, "logLevel: debug, info, warn or error is wanted"};
   return out;
 }
--- a/src/sim/world.cpp
+++ b/src/sim/world.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 constexpr Millis kIsolationSlack{500};
-constexpr Millis kControllerTick{100}, kRouterTick{200}, kRelayTick{250};
+constexpr Millis kControllerTick{100}, kRouterTick{200}, kObserverTick{250};
 constexpr Millis kDiskSync{4};
 // Stands for the token of a write whose failure was reported already.
 constexpr std::uint64_t kToldBefore = ~0ULL;
@@ -123,15 +123,15 @@
       startLater(i);
       return;
     }
-    control::Controller::Tuning tuning;
-    tuning.faultTolerance = shape_.faultTolerance;
+    control::Controller::Options options;
+    options.faultTolerance = shape_.faultTolerance;
     n.controller = std::make_unique<control::Controller>(control::Controller::Self{n.name, n.zone, n.cohort},
-                                                         std::move(identity), seeds, tuning, random_());
+                                                         std::move(identity), seeds, options, random_());
     // The daemon has its identity on disk before it says anything.
     for (auto& write : writes) n.disk[write.slot] = std::move(write.bytes);
   } else {
-    n.follower = std::make_unique<feed::Follower>(feed::Follower::Self{n.name, n.zone, n.cohort}, seeds,
-                                                  membership::Times{}, feed::Times{}, Millis(3000), random_(), now_);
+    n.router = std::make_unique<router::RouterCore>(router::RouterCore::Self{n.name, n.zone, n.cohort}, seeds,
+                                                    membership::Times{}, feed::Times{}, Millis(3000), random_(), now_);
     n.journal = std::make_unique<base::Journal<routing::Event, routing::RoutingSnapshot>>(routing::fold);
     routing::Bounds bounds;
     bounds.warmupOvershoot = shape_.warmupOvershoot;
@@ -159,26 +159,26 @@
       control::Effects effects;
       n.controller->tick(now_, effects);
       perform(i, effects);
-      if (n.controller->readingDue(now_)) {
+      if (n.controller->isListReadDue(now_)) {
         const auto askedAt = now_;
         after(Millis(2), [this, i, life, askedAt] {
           onNode(i, life, Input::Message, [this, i, askedAt] {
             control::Effects fx2;
-            nodes_[i]->controller->listed(platform, askedAt, now_, fx2);
+            nodes_[i]->controller->onListRead(platform, askedAt, now_, fx2);
             perform(i, fx2);
           });
         });
       }
-      if (n.controller->left(now_)) {
+      if (n.controller->isShutDown(now_)) {
         kill(i);
         return;
       }
     } else {
-      feed::FollowerEffects effects;
-      n.follower->tick(now_, effects);
+      router::RouterEffects effects;
+      n.router->tick(now_, effects);
       perform(i, effects);
     }
-    after(n.isRelay        ? kRelayTick
+    after(n.isRelay        ? kObserverTick
           : n.isController ? kControllerTick
                            : kRouterTick,
           [this, i, life] { tickLoop(i, life); });
@@ -191,25 +191,25 @@
   for (auto& write : effects.writes) n.unsynced.push_back(std::move(write));
   startCommit(i);
   for (const auto& answer : effects.answers) takeAnswer(i, answer);
-  trace(i, effects.notes);
+  trace(i, effects.log);
   checkConfirmations(i, effects.out);
   checkIsolated(i, effects.out);
   deliver(i, std::move(effects.out));
 }
 
-void World::perform(std::size_t i, feed::FollowerEffects& effects) {
+void World::perform(std::size_t i, router::RouterEffects& effects) {
   auto& n = *nodes_[i];
-  trace(i, effects.notes);
+  trace(i, effects.log);
   for (auto& event : effects.events) n.table->setSnapshot(n.journal->append(std::move(event)), now_);
-  n.table->setLease(n.follower->group().leaseUntil());
+  n.table->setLease(n.router->group().leaseUntil());
   deliver(i, std::move(effects.out));
 }
 
-void World::trace(std::size_t i, const std::vector<std::string>& notes) const {
+void World::trace(std::size_t i, const std::vector<base::LogEvent>& events) const {
   static const bool wanted = std::getenv("INDIGOHILL_TRACE") != nullptr;
   if (!wanted) return;
   const auto at = std::chrono::duration_cast<Millis>(now_.time_since_epoch()).count() - 3'600'000;
-  for (const auto& note : notes) fmt::print("{:>7} {}: {}\n", at, nodes_[i]->name, note);
+  for (const auto& event : events) fmt::print("{:>7} {}: {}\n", at, nodes_[i]->name, event.json());
 }
 
 // An answer belongs to one call that this very process was asked, and comes once.
@@ -221,7 +221,10 @@
     return;
   }
   auto& call = found->second;
-  trace(i, {fmt::format("answers call {}: {} {}", answer.call, answer.status, answer.body.substr(0, 60))});
+  trace(i, {base::LogEvent("operator_call_answered")
+                .with("call", answer.call)
+                .with("status", answer.status)
+                .with("body", answer.body.substr(0, 60))});
   if (call.node != i || call.life != n.life || call.answered)
     breakRule(fmt::format("{} answers call {} {}", n.name, answer.call, call.answered ? "again" : "of another"));
   call.answered = true;
@@ -253,7 +256,7 @@
     if (other != i && !cutBetween(other, i)) return;
   for (const auto& item : out)
     if (const auto* update = std::get_if<schema::Update>(&item.message);
-        update != nullptr && base::Millis(update->stateAgeMs) < feed::Times{}.confirmedFor)
+        update != nullptr && base::Millis(update->stateAgeMs) < feed::Times{}.confirmationLife)
       breakRule(n.name + " confirms its configuration, cut off for longer than a lease");
 }
 
@@ -349,8 +352,8 @@
           nodes_[to]->controller->receive(std::get<0>(message), sender, now_, effects);
           perform(to, effects);
         } else {
-          feed::FollowerEffects effects;
-          nodes_[to]->follower->receive(std::get<0>(message), sender, now_, effects);
+          router::RouterEffects effects;
+          nodes_[to]->router->receive(std::get<0>(message), sender, now_, effects);
           perform(to, effects);
         }
       });
@@ -381,7 +384,7 @@
   n.refused.clear();
   n.unsynced.clear();
   n.controller.reset();
-  n.follower.reset();
+  n.router.reset();
   n.table.reset();
   n.journal.reset();
 }
@@ -417,7 +420,7 @@
   if (n.isController)
     n.controller->setSeeds(n.seeds);
   else
-    n.follower->setSeeds(n.seeds);
+    n.router->setSeeds(n.seeds);
 }
 
 std::vector<settings::Endpoint> World::drawSeeds() {
@@ -434,11 +437,11 @@
   if (!n.alive) return;
   if (n.isController) {
     control::Effects effects;
-    n.controller->leave(now_, effects);
+    n.controller->shutDown(now_, effects);
     perform(i, effects);
   } else {
-    feed::FollowerEffects effects;
-    n.follower->leave(effects);
+    router::RouterEffects effects;
+    n.router->leave(effects);
     perform(i, effects);
     after(Millis(3000), [this, i, life = n.life] {
       if (nodes_[i]->life == life) kill(i);
@@ -541,7 +544,7 @@
   for (const auto& n : nodes_) {
     if (!n->alive) continue;
     out += fmt::format("\n{}{}: {}", n->name, n->frozen ? " (frozen)" : "",
-                       (n->isController ? n->controller->group() : n->follower->group()).describe(now_));
+                       (n->isController ? n->controller->group() : n->router->group()).describe(now_));
     if (!n->isController) continue;
     const auto& replica = n->controller->replica();
     if (const auto& record = replica.record())
@@ -618,8 +621,8 @@
   for (std::size_t i = 0; i < nodes_.size(); ++i) {
     auto& n = *nodes_[i];
     if (!n.alive) continue;
-    const auto& group = n.isController ? n.controller->group() : n.follower->group();
-    const auto& source = n.isController ? n.controller->source() : n.follower->source();
+    const auto& group = n.isController ? n.controller->group() : n.router->group();
+    const auto& source = n.isController ? n.controller->publisher() : n.router->publisher();
     if (group.view()) {
       const auto& view = *group.view();
       if (view.number != n.lastView) {
@@ -676,11 +679,10 @@
     std::string who;
     for (const auto& n : nodes_)
       if (n->alive && !n->isController)
-        who += fmt::format(" {}{}:{}/{}", n->name, n->frozen ? "(frozen)" : "",
-                           n->follower->group().leaseHeld(now_)
-                               ? n->table->routers(now_, membership::Times{}.lease + Millis(1000))
-                               : 0,
-                           n->follower->group().view() ? n->follower->group().view()->number : 0);
+        who += fmt::format(
+            " {}{}:{}/{}", n->name, n->frozen ? "(frozen)" : "",
+            n->router->group().leaseHeld(now_) ? n->table->routers(now_, membership::Times{}.lease + Millis(1000)) : 0,
+            n->router->group().view() ? n->router->group().view()->number : 0);
     breakRule(fmt::format("the shares of the routers sum to {}:{}", shares, who));
   }
   for (const auto& extra : checks) extra();
--- a/src/sim/world.hpp
+++ b/src/sim/world.hpp
@@ -13,7 +13,7 @@
 
 #include "base/journal.hpp"
 #include "control/controller.hpp"
-#include "feed/follower.hpp"
+#include "router/router_core.hpp"
 #include "routing/table.hpp"
 
 // A seeded world for tests: the real group, control and news code of every daemon on a simulated network, clock and
@@ -65,7 +65,7 @@
   // Since when it reaches no majority of the controllers with a disk, in either direction, by cuts alone.
   std::optional<base::TimePoint> isolatedSince;
   std::unique_ptr<control::Controller> controller;
-  std::unique_ptr<feed::Follower> follower;
+  std::unique_ptr<router::RouterCore> router;
   std::unique_ptr<base::Journal<routing::Event, routing::RoutingSnapshot>> journal;
   std::unique_ptr<routing::Table> table;
   std::uint64_t lastView = 0;
@@ -149,7 +149,7 @@
 
   void deliver(std::size_t from, net::Outbox out);
   void perform(std::size_t i, control::Effects& effects);
-  void perform(std::size_t i, feed::FollowerEffects& effects);
+  void perform(std::size_t i, router::RouterEffects& effects);
   void startLater(std::size_t i);
   void startCommit(std::size_t i);
   void finishCommit(std::size_t i, std::uint64_t life);
@@ -166,7 +166,7 @@
   void onNode(std::size_t i, std::uint64_t life, Input input, std::function<void()> what);
   void tickLoop(std::size_t i, std::uint64_t life);
   void trace(std::size_t i,
-             const std::vector<std::string>& notes) const;  // to standard output, if INDIGOHILL_TRACE is set
+             const std::vector<base::LogEvent>& events) const;  // to standard output, if INDIGOHILL_TRACE is set
   void check();
   void stop(std::size_t i, bool power);
   void tryOrder(std::size_t i, control::OrderKind kind, std::uint64_t baseVersion, std::string body,
--- a/src/sim/worst_day.cpp
+++ b/src/sim/worst_day.cpp
@@ -334,7 +334,7 @@
   for (std::size_t i = world_.controllers(); i < world_.controllers() + shape_.routers; ++i) {
     const auto& router = world_.node(i);
     if (!router.alive || ongoing_[i] > 0) continue;
-    const auto& state = router.follower->source().state();
+    const auto& state = router.router->publisher().state();
     // One that has started anew has until recoveryS to be ready for the first time.
     const auto patience = state ? options_.bounds.contact : options_.bounds.recovery;
     if (world_.now() - lastTroubledAt_[i] < patience) continue;
@@ -357,9 +357,9 @@
   for (std::size_t i = 0; i < shape_.controllers + shape_.routers + shape_.relays; ++i) {
     const auto& daemon = const_cast<World&>(world_).node(i);
     if (!daemon.alive) return false;
-    const auto& group = daemon.isController ? daemon.controller->group() : daemon.follower->group();
+    const auto& group = daemon.isController ? daemon.controller->group() : daemon.router->group();
     if (!group.view() || group.view()->members.size() != world_.size()) return false;
-    if (!daemon.isController && !daemon.follower->informed()) return false;
+    if (!daemon.isController && !daemon.router->isInformed()) return false;
   }
   return true;
 }
--- a/src/store/snapshots.cpp
+++ b/src/store/snapshots.cpp
@@ -43,7 +43,7 @@
     slots_ = Database(path, mapBytes_, Database::Access::ReadOnly).readAll();
     lost_ = false;
   } catch (const DatabaseError& error) {
-    spdlog::error("store: {}: {}", path, error.what());
+    base::logError(base::LogEvent("store_snapshot_unreadable").with("path", path).with("error", error.what()));
   }
 }
 
@@ -56,7 +56,7 @@
     commitOrThrow();
     return true;
   } catch (const std::exception& error) {
-    spdlog::error("store: {}", error.what());
+    base::logError(base::LogEvent("store_commit_failed").with("error", error.what()));
     return false;
   }
 }
--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -23,7 +23,7 @@
 base::Result<std::unique_ptr<Store>> Store::open(const std::string& folder, std::uint64_t mapBytes) {
   try {
     auto store = std::unique_ptr<Store>(new Store(folder, mapBytes));
-    if (store->wasLost()) spdlog::error("store {} is damaged and counts as a lost disk", folder);
+    if (store->wasLost()) base::logError(base::LogEvent("store_damaged").with("folder", folder));
     return store;
   } catch (const std::exception& error) {
     return base::Error{base::Verdict::NotRun, error.what()};
--- a/tests/fleet.hpp
+++ b/tests/fleet.hpp
@@ -9,7 +9,7 @@
 
 #include "control/controller.hpp"
 #include "documents.hpp"
-#include "feed/follower.hpp"
+#include "router/router_core.hpp"
 
 // A large fleet of the real group, control and news code on links of bounded width: what goes out of a machine waits
 // for what went before it, datagrams are lost fragment by fragment, larger messages cost a repeat instead. Counts the
@@ -32,7 +32,7 @@
     std::uint64_t life = 0, sentBytes = 0;
     std::map<control::Slot, std::string> disk;
     std::unique_ptr<control::Controller> controller;
-    std::unique_ptr<feed::Follower> follower;
+    std::unique_ptr<router::RouterCore> router;
     base::TimePoint outFree{}, inFree{};
   };
   struct Count {
@@ -62,11 +62,11 @@
   base::TimePoint now() const { return now_; }
   const membership::Group& group(std::size_t i) const {
     const auto& m = machines_[i];
-    return m.isController ? m.controller->group() : m.follower->group();
+    return m.isController ? m.controller->group() : m.router->group();
   }
   const feed::Publisher& source(std::size_t i) const {
     const auto& m = machines_[i];
-    return m.isController ? m.controller->source() : m.follower->source();
+    return m.isController ? m.controller->publisher() : m.router->publisher();
   }
   std::map<std::string, Count> counts;
   std::vector<schema::RunnerEntry> platform;
@@ -93,11 +93,11 @@
       for (auto& write : writes) m.disk[write.slot] = write.bytes;
       m.controller =
           std::make_unique<control::Controller>(control::Controller::Self{m.name, m.zone, m.cohort},
-                                                std::move(identity), seeds, control::Controller::Tuning{}, random_());
+                                                std::move(identity), seeds, control::Controller::Options{}, random_());
     } else {
-      m.follower =
-          std::make_unique<feed::Follower>(feed::Follower::Self{m.name, m.zone, m.cohort}, seeds, membership::Times{},
-                                           feed::Times{}, base::Millis(4000), random_(), now_);
+      m.router =
+          std::make_unique<router::RouterCore>(router::RouterCore::Self{m.name, m.zone, m.cohort}, seeds,
+                                               membership::Times{}, feed::Times{}, base::Millis(4000), random_(), now_);
     }
     after(Micros(random_() % 100'000), [this, i, life = m.life] { tick(i, life); });
   }
@@ -105,7 +105,7 @@
     auto& m = machines_[i];
     m.alive = false;
     m.controller.reset();
-    m.follower.reset();
+    m.router.reset();
   }
 
   // Runs until `done` holds, looked at every 10 ms; how long it took, or nothing after `limit`.
@@ -143,13 +143,14 @@
   std::size_t serving() const {
     std::size_t count = 0;
     for (std::size_t i = shape_.controllers; i < machines_.size(); ++i)
-      count += machines_[i].alive && source(i).state() && source(i).state()->revision > 0 && source(i).hasRunners();
+      count += machines_[i].alive && source(i).state() && source(i).state()->revision > 0 &&
+               source(i).runnerList().isKnown();
     return count;
   }
   std::size_t informed() const {
     std::size_t count = 0;
     for (std::size_t i = shape_.controllers; i < machines_.size(); ++i)
-      count += machines_[i].alive && machines_[i].follower->informed();
+      count += machines_[i].alive && machines_[i].router->isInformed();
     return count;
   }
   // Starts the fleet and gives it its first configuration.
@@ -189,20 +190,20 @@
       control::Effects effects;
       m.controller->tick(now_, effects);
       perform(i, effects);
-      if (m.controller->readingDue(now_)) {
+      if (m.controller->isListReadDue(now_)) {
         // Two calls for each hundred runners, some milliseconds each.
         const auto askedAt = now_;
         after(Micros(4000 * (1 + platform.size() / 50)), [this, i, life, askedAt] {
           auto& reader = machines_[i];
           if (!reader.alive || reader.life != life) return;
           control::Effects after;
-          reader.controller->listed(platform, askedAt, now_, after);
+          reader.controller->onListRead(platform, askedAt, now_, after);
           perform(i, after);
         });
       }
     } else {
-      feed::FollowerEffects effects;
-      m.follower->tick(now_, effects);
+      router::RouterEffects effects;
+      m.router->tick(now_, effects);
       send(i, effects.out);
     }
     after(base::Millis(m.isController ? 100 : 200), [this, i, life] { tick(i, life); });
@@ -267,8 +268,8 @@
                         m.controller->receive(*message, self, now_, effects);
                         perform(i, effects);
                       } else {
-                        feed::FollowerEffects effects;
-                        m.follower->receive(*message, self, now_, effects);
+                        router::RouterEffects effects;
+                        m.router->receive(*message, self, now_, effects);
                         send(i, effects.out);
                       }
                     }});
--- a/tests/operator.hpp
+++ b/tests/operator.hpp
@@ -61,11 +61,11 @@
   for (std::size_t i = 0; i < world.size(); ++i) {
     auto& n = world.node(i);
     if (!n.alive) return false;
-    const auto& group = n.isController ? n.controller->group() : n.follower->group();
+    const auto& group = n.isController ? n.controller->group() : n.router->group();
     if (!group.view() || group.view()->members.size() != world.size()) return false;
     if (number && *number != group.view()->number) return false;
     number = group.view()->number;
-    if (!n.isController && !n.follower->informed()) return false;
+    if (!n.isController && !n.router->isInformed()) return false;
   }
   return true;
 }
--- a/tests/test_feed.cpp
+++ b/tests/test_feed.cpp
@@ -20,12 +20,12 @@
 using indigohill::tests::Operator;
 
 namespace {
-constexpr Millis kRelayTick{250};
-static_assert(feed::Times{}.appliedAfter(kRelayTick) <= feed::Times{}.applyWithin);
-static_assert(feed::Times::within(Millis(1700)).appliedAfter(kRelayTick) <= Millis(1700));
+constexpr Millis kObserverTick{250};
+static_assert(feed::Times{}.worstApply(kObserverTick) <= feed::Times{}.applyTimeout);
+static_assert(feed::Times::within(Millis(1700)).worstApply(kObserverTick) <= Millis(1700));
 
 const feed::Publisher& publisherOf(sim::Node& node) {
-  return node.isController ? node.controller->source() : node.follower->source();
+  return node.isController ? node.controller->publisher() : node.router->publisher();
 }
 
 // Changes one configuration after the other and checks after each step what every daemon, also one that stands still,
@@ -83,7 +83,7 @@
     const auto relay = world.size() - 1;
     world.run(Millis(1000));
     for (const auto i : {primary, relay}) {
-      cr_assert(world.node(i).controller->source().stateAgeMs(world.now()) < 1400, "seed %lu: %zu", seed, i);
+      cr_assert(world.node(i).controller->publisher().stateAgeMs(world.now()) < 1400, "seed %lu: %zu", seed, i);
       world.freeze(i);
     }
     world.run(Millis(20'000));
@@ -92,7 +92,7 @@
     for (const auto i : {primary, relay}) {
       const auto update = answerAfterFreeze(world, i, {});
       cr_assert_eq(feed::contentOf(update).states.at(0).revision, 1u);
-      cr_assert_not(world.node(i).controller->source().confirms(update), "seed %lu: %zu confirms", seed, i);
+      cr_assert_not(world.node(i).controller->publisher().confirms(update), "seed %lu: %zu confirms", seed, i);
     }
     holds(world);
   }
@@ -152,9 +152,9 @@
     world.run(Millis(seed * 40));
     op.change();
     cr_assert(world.runUntil(Millis(3000), [&] { return op.newest == 2; }), "seed %lu", seed);
-    world.run(feed::Times{}.applyWithin);
+    world.run(feed::Times{}.applyTimeout);
     for (std::size_t i = 3; i < 9; ++i)
-      cr_assert_eq(world.node(i).follower->source().state()->revision, 2u, "seed %lu, router %zu", seed, i);
+      cr_assert_eq(world.node(i).router->publisher().state()->revision, 2u, "seed %lu, router %zu", seed, i);
     holds(world);
   }
 }
@@ -181,9 +181,9 @@
 Test(feed, an_asker_learns_at_once_that_nothing_is_confirmed_any_more_and_that_it_is_again) {
   auto publisher = confirmedPublisher();
   net::Outbox out;
-  publisher.receive(schema::Poll{1, {1, 1}, {}}, kAsker, kStart + kTimes.confirmedFor - Millis(100), out);
+  publisher.receive(schema::Poll{1, {1, 1}, {}}, kAsker, kStart + kTimes.confirmationLife - Millis(100), out);
   cr_assert(out.empty(), "nothing new: it waits");
-  auto now = kStart + kTimes.confirmedFor;
+  auto now = kStart + kTimes.confirmationLife;
   publisher.tick(now, out);
   cr_assert_not(publisher.confirms(update(out)));
   // Asked again soon, it makes the asker wait: else both would talk without a pause.
@@ -214,12 +214,12 @@
   net::Outbox out;
   publisher.receive(schema::Poll{5, {1, 1}, feed::kNothingWanted}, kAsker, kStart, out);
   for (int round = 1; round <= 3; ++round) {
-    const auto now = kStart + round * kTimes.relayHold;
+    const auto now = kStart + round * kTimes.observerPollInterval;
     publisher.confirmAt(now);
     publisher.tick(now, out);
     const auto answer = update(out);
     cr_assert(answer.token == 5 && answer.stateAgeMs == 0);
-    cr_assert_eq(Millis(answer.heldMs), round * kTimes.relayHold);
+    cr_assert_eq(Millis(answer.heldMs), round * kTimes.observerPollInterval);
   }
 }
 
@@ -289,22 +289,22 @@
     cr_assert(world.runUntil(Millis(8000), [&] { return op.newest == 2; }), "seed %lu", seed);
     world.kill(kRestarted);
     world.start(kRestarted);
-    const auto& restarted = world.node(kRestarted).follower;
-    const auto& other = world.node(kOther).follower;
+    const auto& restarted = world.node(kRestarted).router;
+    const auto& other = world.node(kOther).router;
     world.checks.push_back([&] {
-      restartedReady |= restarted->informed();
-      otherUnready |= !other->informed();
+      restartedReady |= restarted->isInformed();
+      otherUnready |= !other->isInformed();
     });
     world.run(Millis(10'000));
     cr_assert_not(restartedReady, "seed %lu: ready with what nobody confirms", seed);
     cr_assert_not(otherUnready, "seed %lu: no longer ready", seed);
-    cr_assert(restarted->source().state() && restarted->source().state()->revision == 1, "seed %lu", seed);
-    cr_assert(other->staleFor(world.now()).has_value());
+    cr_assert(restarted->publisher().state() && restarted->publisher().state()->revision == 1, "seed %lu", seed);
+    cr_assert(other->unconfirmedFor(world.now()).has_value());
     for (const auto i : part) world.cutOff(i, rest, false);
-    cr_assert(world.runUntil(feed::Times{}.applyWithin,
+    cr_assert(world.runUntil(feed::Times{}.applyTimeout,
                              [&] {
-                               return restarted->informed() && restarted->source().state()->revision == 2 &&
-                                      other->source().state()->revision == 2;
+                               return restarted->isInformed() && restarted->publisher().state()->revision == 2 &&
+                                      other->publisher().state()->revision == 2;
                              }),
               "seed %lu: not there in time", seed);
     cr_assert_not(otherUnready, "seed %lu: no longer ready", seed);
--- a/tests/test_losses.cpp
+++ b/tests/test_losses.cpp
@@ -157,7 +157,7 @@
     cr_assert_eq(status, 307);
     cr_assert(world.node(i).disk.empty());
     // The group counts as settled without its relays: a lost update may have to be repeated first.
-    const auto& source = world.node(i).controller->source();
+    const auto& source = world.node(i).controller->publisher();
     cr_assert(world.runUntil(Millis(500), [&] { return source.state() && source.state()->revision == 1; }));
   }
   // One voter gone for good: no relay takes its place.
@@ -451,7 +451,7 @@
       for (std::size_t i = 0; i < world.size(); ++i) {
         auto& n = world.node(i);
         if (!n.alive) continue;
-        const auto& state = (n.isController ? n.controller->source() : n.follower->source()).state();
+        const auto& state = (n.isController ? n.controller->publisher() : n.router->publisher()).state();
         if (state && op.refused.contains(state->revision)) world.breakRule(n.name + " has a refused configuration");
       }
     });
--- a/tests/test_membership.cpp
+++ b/tests/test_membership.cpp
@@ -87,8 +87,8 @@
     start(world, routerNodes());
     const auto informed = [&] {
       return std::ranges::all_of(routerNodes(), [&](auto i) {
-        const auto& router = *world.node(i).follower;
-        return router.informed() && router.group().leaseHeld(world.now());
+        const auto& router = *world.node(i).router;
+        return router.isInformed() && router.group().leaseHeld(world.now());
       });
     };
     cr_assert(world.runUntil(Millis(8000), informed), "seed %lu%s", seed, world.describe().c_str());
--- a/tests/test_parts.cpp
+++ b/tests/test_parts.cpp
@@ -6,7 +6,7 @@
 
 #include "base/journal.hpp"
 #include "base/log.hpp"
-#include "cli/process.hpp"
+#include "cli/settings_watch.hpp"
 #include "control/calls.hpp"
 #include "control/configuration.hpp"
 #include "documents.hpp"
@@ -234,13 +234,13 @@
   settings::Settings s;
   s.drainTimeoutMs = Millis(4000);
   s.ratePerS = 300;
-  cr_assert_eq(runners::listPeriod(s, 1), Millis(666));
-  cr_assert_eq(runners::listPeriod(s, 12), Millis(666), "twelve pages are still a small part");
+  cr_assert_eq(runners::listReadInterval(s, 1), Millis(666));
+  cr_assert_eq(runners::listReadInterval(s, 12), Millis(666), "twelve pages are still a small part");
   s.ratePerS = 10;
-  cr_assert_eq(runners::listPeriod(s, 1), Millis(800));
-  cr_assert_eq(runners::listPeriod(s, 12), Millis(2400), "half of the calls");
+  cr_assert_eq(runners::listReadInterval(s, 1), Millis(800));
+  cr_assert_eq(runners::listReadInterval(s, 12), Millis(2400), "half of the calls");
   s.ratePerS = 40;
-  cr_assert_eq(runners::listPeriod(s, 12), Millis(4000 / 3), "soon enough for one that drains");
+  cr_assert_eq(runners::listReadInterval(s, 12), Millis(4000 / 3), "soon enough for one that drains");
 }
 
 Test(events, only_whole_events_are_passed) {
@@ -500,18 +500,18 @@
   net::Outbox out;
   const settings::Endpoint who{1, 1};
   source.receive(schema::Poll{1, {}, {}}, who, now, out);
-  source.tick(now + times.hold, out);  // answered that there is none
+  source.tick(now + times.longPollTimeout, out);  // answered that there is none
   onlyNews(out);
-  now += times.hold;
+  now += times.longPollTimeout;
   source.setState({{1, 1}, 3, "{}", {}, {}});
   source.publish(now, out);  // told although no ask is open: its next one may be lost
   cr_assert_eq(feed::contentOf(onlyNews(out)).states.size(), 1u);
   source.publish(now, out);
   cr_assert(out.empty());
-  source.tick(now + times.repeat, out);
+  source.tick(now + times.resendInterval, out);
   cr_assert_eq(feed::contentOf(onlyNews(out)).states.size(), 1u);
-  source.receive(schema::Poll{2, {1, 1}, {}}, who, now + times.repeat, out);
-  source.tick(now + 3 * times.repeat, out);
+  source.receive(schema::Poll{2, {1, 1}, {}}, who, now + times.resendInterval, out);
+  source.tick(now + 3 * times.resendInterval, out);
   cr_assert(out.empty(), "told again after it was shown");
 }
 
@@ -536,12 +536,12 @@
   source.setRunners({5, 1}, list, now);
   schema::Update news;
   const auto ask = [&](const feed::Publisher& asker) {
-    source.receive(schema::Poll{1, {}, asker.askRunners()}, {1, 1}, now, out);
+    source.receive(schema::Poll{1, {}, asker.runnerList().versionToRequest()}, {1, 1}, now, out);
     news = onlyNews(out);
     return feed::contentOf(news);
   };
   const auto take = [&](feed::Publisher& asker, const schema::UpdateContent& content) {
-    return asker.takeRunners(news, content, now);
+    return asker.applyRunners(news, content, now);
   };
   cr_assert(take(sink, ask(sink)));
   cr_assert(take(late, ask(late)));
@@ -556,7 +556,8 @@
   auto other = changes;
   other.gone.clear();
   cr_assert_not(take(late, other));
-  cr_assert(late.askRunners() == schema::StateVersion{} && late.runnersVersion() == (schema::StateVersion{5, 1}));
+  cr_assert(late.runnerList().versionToRequest() == schema::StateVersion{} &&
+            late.runnerList().version() == (schema::StateVersion{5, 1}));
   cr_assert(take(late, ask(late)) && late.runners() == source.runners());
   cr_assert(take(sink, changes) && sink.runners() == source.runners());
   cr_assert_not(take(sink, changes), "taken twice");
@@ -576,13 +577,13 @@
   write(settingsText());
   cli::SettingsWatch watch(path, "router", std::get<0>(settings::read(path)));
   write(settingsText({{"seedNodes", "10.0.0.9:8000"}}));
-  cr_assert(watch.look(true));
-  cr_assert_eq(watch.now().seedNodes.size(), 1u);
+  cr_assert(watch.check(true));
+  cr_assert_eq(watch.current().seedNodes.size(), 1u);
   write(settingsText({{"seedNodes", "nonsense"}}));
-  cr_assert_not(watch.look(true));
+  cr_assert_not(watch.check(true));
   write(settingsText({{"bindAddresses.frontend", "-"}}));
-  cr_assert_not(watch.look(true));
-  cr_assert_eq(settings::text(watch.now().seedNodes.at(0)), "10.0.0.9:8000");
+  cr_assert_not(watch.check(true));
+  cr_assert_eq(settings::text(watch.current().seedNodes.at(0)), "10.0.0.9:8000");
   std::remove(path.c_str());
 }
 
--- a/tests/test_plan.cpp
+++ b/tests/test_plan.cpp
@@ -5,7 +5,7 @@
 #include <fstream>
 
 #include "base/hash.hpp"
-#include "cli/tools.hpp"
+#include "cli/plan_command.hpp"
 #include "documents.hpp"
 #include "import/envoy.hpp"
 #include "plan/plan.hpp"
--- a/tests/test_proxy.cpp
+++ b/tests/test_proxy.cpp
@@ -416,7 +416,7 @@
   cr_assert(r.prompt == "a:5,b:6" && r.tokens == "11,3");
 }
 
-Test(proxy, without_a_configuration_it_sheds_and_when_leaving_it_closes) {
+Test(proxy, without_a_configuration_it_sheds_and_when_shuttingDown_it_closes) {
   Runner runner({whole("ok")});
   {
     Front front({&runner});
@@ -424,7 +424,7 @@
     cr_assert(starts(front.exchange(get("/check/1")), "HTTP/1.1 503"));
   }
   Front front({&runner});
-  front.executor.leave(base::Clock::now() + std::chrono::hours(1));
+  front.executor.shutDown(base::Clock::now() + std::chrono::hours(1));
   const auto out = front.exchange(get("/check/1") + get("/check/2"));
   cr_assert(has(out, "Connection: close"), "%s", out.c_str());
   cr_assert_eq(runner.count(), 1u);
@@ -474,7 +474,7 @@
     cr_assert_eq(client->answer()->result_int(), 200u);
   }
   // The route of /check/ gives a request 1.5 s, that of /long/ an hour.
-  front.executor.leave(base::Clock::now() + std::chrono::minutes(10));
+  front.executor.shutDown(base::Clock::now() + std::chrono::minutes(10));
   KeptConnection newShort(front.address()), newLong(front.address());
   for (auto* client : {&restingLong, &newLong}) {
     client->send(get("/long/2"));
@@ -503,7 +503,7 @@
   Front front({&runner}, "plain",
               R"(,{"name":"tale","hostname":"a.example","pathPrefix":"/tale/","routeType":"streaming",)"
               R"("timeoutMs":3600000,"targetLatencyMs":300,"targetService":"plain","maxAttempts":1})");
-  front.executor.leave(base::Clock::now() + std::chrono::minutes(10));
+  front.executor.shutDown(base::Clock::now() + std::chrono::minutes(10));
   KeptConnection late(front.address()), fits(front.address());
   late.send(get("/tale/1"));
   const auto answer = late.answer();
@@ -526,9 +526,9 @@
     cr_assert_eq(clients.back()->answer()->result_int(), 200u);
   }
   const auto before = front.executor.counters().requests.load();
-  front.executor.leave(base::Clock::now() + std::chrono::hours(1));
+  front.executor.shutDown(base::Clock::now() + std::chrono::hours(1));
   // The last client rests on; the others send while the connections are being closed.
-  std::thread closing([&] { front.executor.closeIdle(); });
+  std::thread closing([&] { front.executor.closeIdleConnections(); });
   for (int i = 0; i + 1 < kClients; ++i) clients[i]->send(get("/check/2"));
   closing.join();
   std::uint64_t answered = 0;
--- a/tests/test_replay.cpp
+++ b/tests/test_replay.cpp
@@ -3,7 +3,7 @@
 
 #include <fstream>
 
-#include "cli/replay.hpp"
+#include "cli/replay_command.hpp"
 #include "documents.hpp"
 #include "replay/report.hpp"
 // Criterion's macros get in the way of Boost's headers, so it comes last.
--- a/tests/test_rollout.cpp
+++ b/tests/test_rollout.cpp
@@ -3,11 +3,11 @@
 
 #include "control/calls.hpp"
 #include "documents.hpp"
-#include "feed/follower.hpp"
 #include "feed/publisher.hpp"
 #include "plan/plan.hpp"
 #include "rollout/orders.hpp"
 #include "rollout/versions.hpp"
+#include "router/router_core.hpp"
 #include "runners/list.hpp"
 // These bring in Criterion, whose macros get in the way of Boost's headers, so they come last.
 #include <criterion/criterion.h>
@@ -251,9 +251,9 @@
     for (const auto& spoilt : {runner("b", "v7", 2), runner("b", "v2", 7), runner("b", "v2", 2, {"else"})}) {
       auto bad = content;
       bad.runners = {spoilt};
-      cr_assert_not(copy.takeRunners(news, bad, now));
+      cr_assert_not(copy.applyRunners(news, bad, now));
     }
-    cr_assert(copy.takeRunners(news, content, now));
+    cr_assert(copy.applyRunners(news, content, now));
     cr_assert(copy.runners() == truth.runners());
   }
 }
--- a/tests/test_rollout_cli.cpp
+++ b/tests/test_rollout_cli.cpp
@@ -3,7 +3,7 @@
 
 #include <thread>
 
-#include "cli/rollout.hpp"
+#include "cli/rollout_command.hpp"
 #include "http/server.hpp"
 // These bring in Criterion, whose macros get in the way of Boost's headers, so they come last.
 #include <criterion/criterion.h>
--- a/tests/test_rollout_world.cpp
+++ b/tests/test_rollout_world.cpp
@@ -2,8 +2,8 @@
 #include <fmt/format.h>
 
 #include "documents.hpp"
-#include "feed/follower.hpp"
 #include "feed/publisher.hpp"
+#include "router/router_core.hpp"
 #include "sim/world.hpp"
 // These bring in Criterion, whose macros get in the way of Boost's headers, so they come last.
 #include <criterion/criterion.h>
@@ -38,7 +38,7 @@
   }
   bool allInformed() {
     for (std::size_t i = world.controllers(); i < world.size(); ++i)
-      if (!world.node(i).alive || !world.node(i).follower->informed()) return false;
+      if (!world.node(i).alive || !world.node(i).router->isInformed()) return false;
     return true;
   }
   // After the bound, no decision of a router that is in touch names a runner that is held back, and each finds one.
@@ -47,7 +47,7 @@
     if (mayServe.empty()) return;
     for (std::size_t i = world.controllers(); i < world.size(); ++i) {
       auto& n = world.node(i);
-      if (!n.alive || n.frozen || outOfTouch.contains(i) || !n.follower->informed()) continue;
+      if (!n.alive || n.frozen || outOfTouch.contains(i) || !n.router->isInformed()) continue;
       routing::RequestProfile request;
       request.route = &configuration.routes[1];
       request.service = "plain";
@@ -222,12 +222,12 @@
   schema::ControlState state{{1, 5}, 1, tests::document(1), {}, {}, {{"plain", 1, 0, record(1)}}};
   truth.setState(state);
   truth.setRunners({1, 1}, {runner("good")}, now);
-  feed::Follower follower({"r", "z0", {2, 2}}, {source}, membership::Times{}, feed::Times{}, Millis(3000), 1, now);
+  router::RouterCore follower({"r", "z0", {2, 2}}, {source}, membership::Times{}, feed::Times{}, Millis(3000), 1, now);
   routing::RoutingSnapshot snapshot;
   // Carries asks to the source and its answers back, as `spoil` leaves them.
   auto at = now;
   const auto round = [&](const std::function<void(schema::Update&)>& spoil) {
-    feed::FollowerEffects effects;
+    router::RouterEffects effects;
     at += Millis(800);
     follower.tick(at, effects);
     for (const auto& item : effects.out)
@@ -239,7 +239,7 @@
         for (auto& answer : out) {
           auto news = std::get<schema::Update>(answer.message);
           spoil(news);
-          feed::FollowerEffects after;
+          router::RouterEffects after;
           follower.receive(news, source, at, after);
           for (const auto& event : after.events) routing::fold(snapshot, event);
         }
@@ -253,29 +253,29 @@
     news.content = net::encodeUpdateContent(content);
   };
   round(plainly);
-  cr_assert(follower.informed() && snapshot.rollouts.at("plain").number == 1);
+  cr_assert(follower.isInformed() && snapshot.rollouts.at("plain").number == 1);
   for (int i = 0; i < 3; ++i) round(plainly);
-  cr_assert(follower.informed());
+  cr_assert(follower.isInformed());
   // A new one arrives as something else.
   state.version.sequence = 6;
   state.rollouts[0].number = 2;
   truth.setState(state);
   round(other);
-  cr_assert(!follower.informed() && snapshot.rollouts.at("plain").number == 7);
+  cr_assert(!follower.isInformed() && snapshot.rollouts.at("plain").number == 7);
   for (int i = 0; i < 5; ++i) round(plainly);
-  cr_assert(follower.informed() && snapshot.rollouts.at("plain").number == 2);
+  cr_assert(follower.isInformed() && snapshot.rollouts.at("plain").number == 2);
   // A record of a later program: held back and not ready until one comes that it can read.
   state.version.sequence = 7;
   state.rollouts[0].document = replaced(record(3), "\"stages\"", "\"phases\"");
   truth.setState(state);
   for (int i = 0; i < 6; ++i) {
     round(plainly);
-    cr_assert(!follower.informed());
+    cr_assert(!follower.isInformed());
   }
   cr_assert(!snapshot.rollouts.at("plain").record);
   state.version.sequence = 8;
   state.rollouts[0].document = record(4);
   truth.setState(state);
   for (int i = 0; i < 4; ++i) round(plainly);
-  cr_assert(follower.informed() && snapshot.rollouts.at("plain").record);
+  cr_assert(follower.isInformed() && snapshot.rollouts.at("plain").record);
 }
--- a/tests/test_world.cpp
+++ b/tests/test_world.cpp
@@ -22,7 +22,7 @@
   bringUp(world, op);
   cr_assert(op.readBack(Millis(8000)));
   for (std::size_t i = world.controllers(); i < world.size(); ++i)
-    cr_assert_eq(world.node(i).follower->source().state()->revision, 1u);
+    cr_assert_eq(world.node(i).router->publisher().state()->revision, 1u);
 }
 
 Test(world, an_exact_resend_is_acknowledged_and_a_late_base_is_refused) {
@@ -245,7 +245,7 @@
   world.platform[0].draining = true;
   cr_assert(world.runUntil(Millis(1500), [&] {
     for (std::size_t i = world.controllers(); i < world.size(); ++i) {
-      const auto& known = world.node(i).follower->source().runners();
+      const auto& known = world.node(i).router->publisher().runners();
       if (known.size() != 1 || !known[0].draining) return false;
     }
     return true;
@@ -403,7 +403,7 @@
       for (std::size_t i = 0; i < world.size(); ++i) {
         auto& n = world.node(i);
         if (!n.alive) continue;
-        const auto& state = (n.isController ? n.controller->source() : n.follower->source()).state();
+        const auto& state = (n.isController ? n.controller->publisher() : n.router->publisher()).state();
         if (state && op.refused.contains(state->revision)) world.breakRule(n.name + " has a refused configuration");
       }
     });
--- a/tests/test_worst_days.cpp
+++ b/tests/test_worst_days.cpp
@@ -124,7 +124,7 @@
       if (i % 8 == 0) op.change();
       world.run(Millis(425));
       holds(world);
-      cr_assert(!world.node(router).follower->informed(), "seed %lu: a router that starts there is ready", seed);
+      cr_assert(!world.node(router).router->isInformed(), "seed %lu: a router that starts there is ready", seed);
     }
     cr_assert_gt(op.newest, 1u, "seed %lu: nothing taken beside a machine that is cut off", seed);
     world.cutOff(away, everyone(world), false);
@@ -409,7 +409,7 @@
     cr_assert_gt(operators.acknowledged(), 50u);
     for (std::size_t i = world.controllers(); i < world.size(); ++i)
       if (!world.node(i).isController)
-        cr_assert_geq(world.node(i).follower->source().state()->revision, operators.newestAcknowledged());
+        cr_assert_geq(world.node(i).router->publisher().state()->revision, operators.newestAcknowledged());
   }
 }
 
@@ -447,7 +447,7 @@
     startAll(world);
     const auto informed = [&] {
       for (std::size_t i = world.controllers(); i < world.controllers() + 3; ++i)
-        if (!world.node(i).follower->informed()) return false;
+        if (!world.node(i).router->isInformed()) return false;
       return world.active().has_value();
     };
     cr_assert(world.runUntil(kRecovery, informed), "seed %lu: the routers have nothing%s", seed,
