--- a/src/cli/controller_client.cpp
+++ b/src/cli/controller_client.cpp
@@ -73,7 +73,7 @@
     http::Client client(io_.get_executor(), at);
     auto called = co_await client.call(std::move(request), kCallTimeout);
     if (const auto* bad = base::errorIn(called)) {
-      lastFailure_ = settings::text(at) + ": " + bad->what;
+      lastFailure_ = settings::text(at) + ": " + bad->message;
       co_return std::nullopt;
     }
     const auto& response = std::get<0>(called);
--- a/src/cli/controller_disk.cpp
+++ b/src/cli/controller_disk.cpp
@@ -29,7 +29,7 @@
   retry([&] {
     auto opened = store::Store::open(s.dataDirectory, mapBytes(s));
     if (const auto* bad = base::errorIn(opened)) {
-      if (tries++ % kTriesLogged == 0) base::logError(base::LogEvent("store_open_failed").with("error", bad->what));
+      if (tries++ % kTriesLogged == 0) base::logError(base::LogEvent("store_open_failed").with("error", bad->message));
       return false;
     }
     out = std::get<0>(std::move(opened));
--- a/src/cli/event_loop.hpp
+++ b/src/cli/event_loop.hpp
@@ -53,7 +53,7 @@
   auto result = co_await reader.read(kListReadTimeout);
   reading = false;
   if (const auto* bad = base::errorIn(result))
-    base::logWarning(base::LogEvent("runner_list_read_failed").with("error", bad->what));
+    base::logWarning(base::LogEvent("runner_list_read_failed").with("error", bad->message));
   else
     onRead(std::get<0>(std::move(result)), askedAt);
 }
--- a/src/cli/input_files.hpp
+++ b/src/cli/input_files.hpp
@@ -19,7 +19,7 @@
 // The value of a result. Throws `BadInput` with the path for an error.
 template <class Value>
 Value need(base::Result<Value> result, const std::string& path) {
-  if (const auto* bad = base::errorIn(result)) throw BadInput{path + ": " + bad->what};
+  if (const auto* bad = base::errorIn(result)) throw BadInput{path + ": " + bad->message};
   return std::get<Value>(std::move(result));
 }
 
--- a/src/cli/plan_command.cpp
+++ b/src/cli/plan_command.cpp
@@ -60,7 +60,7 @@
     auto parsed = control::parseConfiguration(document);
     if (const auto* bad = base::errorIn(parsed)) {
       plan::Plan invalid;
-      invalid.invalid.push_back(bad->what);
+      invalid.invalid.push_back(bad->message);
       return invalid;
     }
     to.configuration = std::make_shared<const control::Configuration>(std::get<0>(std::move(parsed)));
--- a/src/cli/rollout_command.cpp
+++ b/src/cli/rollout_command.cpp
@@ -65,7 +65,7 @@
   // The same check as the controller's, before anything is sent.
   auto record = rollout::parseRecord(document);
   if (const auto* bad = base::errorIn(record)) {
-    std::cerr << "indigohill: rollout: " << arguments.file << ": " << bad->what << "\n";
+    std::cerr << "indigohill: rollout: " << arguments.file << ": " << bad->message << "\n";
     return kBadOrder;
   }
   const auto& r = std::get<rollout::Record>(record);
--- a/src/cli/router_daemon.cpp
+++ b/src/cli/router_daemon.cpp
@@ -106,7 +106,7 @@
                       .with("rejected", requests.rejected.load())
                       .with("cut", requests.cut.load())
                       .with("failed", requests.failed.load())
-                      .with("runnerConnections", executor_.pool().opened()));
+                      .with("runnerConnections", executor_.runnerConnectionsOpened()));
     const auto index = table_.indexState();
     base::logInfo(base::LogEvent("prompt_index_totals")
                       .with("hits", index.counters.hits)
@@ -146,7 +146,7 @@
     for (const auto& notice : effects.loadNotices) table_.heard(notice, now);
     for (const auto& report : effects.healthReports) table_.heard(report, now);
     for (auto& event : effects.events) table_.setSnapshot(journal_.append(std::move(event)), now);
-    if (!effects.events.empty()) executor_.queue().wakeAll();
+    if (!effects.events.empty()) executor_.wakeQueuedRequests();
     table_.setLease(core_.group().leaseUntil());
     isReady_ = core_.isInformed() && !shuttingDown_;
     unconfirmedMs_ = core_.unconfirmedFor(now).value_or(Millis(0)).count();
@@ -164,7 +164,7 @@
       reloadSettings(false);
       std::set<std::string> known;
       for (const auto& entry : core_.publisher().runners()) known.insert(entry.instanceId);
-      executor_.pool().sweep(known, now);
+      executor_.closeStaleRunnerConnections(known, now);
     }
     if (!reading_ && core_.isListReadDue(now)) {
       reading_ = true;
--- a/src/cli/settings_option.cpp
+++ b/src/cli/settings_option.cpp
@@ -24,7 +24,7 @@
 std::variant<settings::Settings, int> loadSettings(const std::string& path, const std::string& role) {
   if (path.empty()) return fail(std::string("no settings file: give --settings or set ") + kSettingsVariable);
   auto read = settings::read(path);
-  if (const auto* bad = base::errorIn(read)) return fail("settings: " + bad->what);
+  if (const auto* bad = base::errorIn(read)) return fail("settings: " + bad->message);
   auto loaded = std::get<settings::Settings>(std::move(read));
   if (const auto missing = settings::missingFor(loaded, role); !missing.empty()) return fail("settings: " + missing);
   return loaded;
--- a/src/cli/settings_watch.cpp
+++ b/src/cli/settings_watch.cpp
@@ -27,7 +27,7 @@
   writtenAt_ = writtenAt;
   auto read = settings::read(path_);
   if (const auto* bad = base::errorIn(read)) {
-    logRejected(bad->what);
+    logRejected(bad->message);
     return false;
   }
   auto next = std::get<settings::Settings>(std::move(read));
--- a/src/control/configuration.cpp
+++ b/src/control/configuration.cpp
@@ -216,7 +216,7 @@
   try {
     return readConfiguration(document);
   } catch (const Wrong& e) {
-    return base::Error{base::Verdict::NotRun, e.what};
+    return base::Error{base::ErrorCode::InvalidInput, e.what};
   }
 }
 
@@ -272,7 +272,7 @@
     }
     return json::serialize(base);
   } catch (const Wrong& e) {
-    return base::Error{base::Verdict::NotRun, e.what};
+    return base::Error{base::ErrorCode::InvalidInput, e.what};
   }
 }
 
--- a/src/control/controller.cpp
+++ b/src/control/controller.cpp
@@ -122,7 +122,7 @@
 }
 
 void Controller::onDiskWrite(std::uint64_t token, bool ok, base::TimePoint now, Effects& effects) {
-  if (!ok) effects.log.push_back(LogEvent("disk_write_failed"));
+  if (!ok) effects.log.emplace_back("disk_write_failed");
   replica_.onDiskWrite(token, ok, now, effects);
   publishChanges(now, effects);
 }
@@ -185,7 +185,7 @@
 void Controller::handleMembershipEvents(Effects& effects) {
   for (const auto& event : group_.takeEvents()) {
     if (!event.view) {
-      effects.log.push_back(LogEvent("expelled_from_view"));
+      effects.log.emplace_back("expelled_from_view");
       continue;
     }
     effects.log.push_back(LogEvent("view_installed")
@@ -234,7 +234,7 @@
   shuttingDown_ = true;
   shuttingDownSince_ = now;
   replica_.retire(now, effects);
-  effects.log.push_back(LogEvent("shutdown_started"));
+  effects.log.emplace_back("shutdown_started");
   considerLeavingGroup(now, effects);
 }
 
--- a/src/control/identity.cpp
+++ b/src/control/identity.cpp
@@ -61,6 +61,7 @@
                   const settings::Endpoint& controlPlane, std::uint64_t seed, std::vector<DiskWrite>& writes) {
   if (auto kept = load(read)) return *std::move(kept);
   std::vector<std::string> voters;
+  voters.reserve(seeds.size());
   for (const auto& s : seeds) voters.push_back(settings::text(s));
   const auto own = settings::text(controlPlane);
   const bool founder = bootstrap && isEmpty(read) && base::contains(voters, own);
--- a/src/control/order_processor.cpp
+++ b/src/control/order_processor.cpp
@@ -49,11 +49,11 @@
   if (update) {
     if (next.document.empty()) return Answer{order.call, kInvalid, "update: there is no configuration yet", {}};
     auto merged = applyUpdate(next.document, order.body);
-    if (const auto* bad = base::errorIn(merged)) return Answer{order.call, kInvalid, bad->what, {}};
+    if (const auto* bad = base::errorIn(merged)) return Answer{order.call, kInvalid, bad->message, {}};
     document = std::get<std::string>(std::move(merged));
   }
   auto parsed = parseConfiguration(document);
-  if (const auto* bad = base::errorIn(parsed)) return Answer{order.call, kInvalid, bad->what, {}};
+  if (const auto* bad = base::errorIn(parsed)) return Answer{order.call, kInvalid, bad->message, {}};
   const auto revision = std::get<Configuration>(parsed).revision;
   if (revision <= next.revision)
     return Answer{order.call, kInvalid, "revision: not above the current one, " + std::to_string(next.revision), {}};
--- a/src/http/client.cpp
+++ b/src/http/client.cpp
@@ -14,7 +14,7 @@
       auto [error] = co_await stream_->async_connect(tcpEndpoint(to_), kTuple);
       if (error) {
         stream_.reset();
-        co_return base::Error{base::Verdict::NotRun, error.message()};
+        co_return base::Error{base::ErrorCode::Unavailable, error.message()};
       }
       tune(stream_->socket(), limit);
     }
@@ -32,7 +32,7 @@
       stream_.reset();
       // A kept connection that the other side has closed meanwhile: once more on a new one. These calls may repeat.
       if (reused && round == 0 && base::Clock::now() < deadline) continue;
-      co_return base::Error{base::Verdict::MayHaveRun, error.message()};
+      co_return base::Error{base::ErrorCode::Unavailable, error.message()};
     }
     auto response = parser.release();
     if (!response.keep_alive() || buffer.size() != 0) stream_.reset();
--- a/src/import/envoy.cpp
+++ b/src/import/envoy.cpp
@@ -186,12 +186,12 @@
         json::object{{"revision", revision}, {"routes", std::move(routes)}, {"services", std::move(services)}});
     // The same checks as for an operator's configuration.
     if (auto parsed = control::parseConfiguration(out.document); base::errorIn(parsed) != nullptr)
-      throw Wrong{"what comes of the file is no valid configuration: " + base::errorIn(parsed)->what};
+      throw Wrong{"what comes of the file is no valid configuration: " + base::errorIn(parsed)->message};
     return out;
   } catch (const Wrong& e) {
-    return base::Error{base::Verdict::NotRun, e.what};
+    return base::Error{base::ErrorCode::InvalidInput, e.what};
   } catch (const YAML::Exception& e) {
-    return base::Error{base::Verdict::NotRun, fmt::format("line {}: {}", e.mark.line + 1, e.msg)};
+    return base::Error{base::ErrorCode::InvalidInput, fmt::format("line {}: {}", e.mark.line + 1, e.msg)};
   }
 }
 
--- a/src/kvindex/index.cpp
+++ b/src/kvindex/index.cpp
@@ -255,7 +255,7 @@
 }
 
 base::Result<std::vector<Overlap>> Index::match(std::uint64_t model, PromptView prompt, std::size_t most) const {
-  if (noRoom_) return base::Error{base::Verdict::NotRun, "the index has no room for a prompt"};
+  if (noRoom_) return base::Error{base::ErrorCode::Exhausted, "the index has no room for a prompt"};
   std::vector<Overlap> out;
   std::vector<NodeId> nodes;
   auto node = find(kNone, model);
--- a/src/membership/commit_reminder.hpp
+++ b/src/membership/commit_reminder.hpp
@@ -29,7 +29,7 @@
   std::vector<std::uint64_t> takeDue(base::TimePoint now) {
     if (missing_.empty() || now - sentAt_ < interval_) return {};
     sentAt_ = now;
-    const std::vector<std::uint64_t> out(missing_.begin(), missing_.end());
+    std::vector<std::uint64_t> out(missing_.begin(), missing_.end());
     if (++reminders_ >= kMaxReminders) missing_.clear();
     return out;
   }
--- a/src/net/codec.cpp
+++ b/src/net/codec.cpp
@@ -34,7 +34,7 @@
     archive >> value;
     return value;
   } catch (const std::exception& error) {
-    return base::Error{base::Verdict::NotRun, error.what()};
+    return base::Error{base::ErrorCode::Corrupt, error.what()};
   }
 }
 
@@ -100,7 +100,7 @@
   std::string_view body;
 };
 base::Result<Opened> unsealed(std::string_view bytes) {
-  const auto wrong = [](const char* what) { return base::Error{base::Verdict::NotRun, what}; };
+  const auto wrong = [](const char* what) { return base::Error{base::ErrorCode::Corrupt, what}; };
   if (bytes.size() < 6) return wrong("cut short");
   if (bytes.size() > kMaxMessageBytes) return wrong("too large");
   std::uint32_t sum = 0;
@@ -117,10 +117,10 @@
   auto& message = std::get<0>(opened);
   if (message.version == kDeflatedVersion) {
     auto whole = inflated(message.body);
-    if (!whole) return base::Error{base::Verdict::NotRun, "cannot be inflated"};
+    if (!whole) return base::Error{base::ErrorCode::Corrupt, "cannot be inflated"};
     message.body = plain = std::move(*whole);
   } else if (message.version != kWireVersion) {
-    return base::Error{base::Verdict::NotRun, "of another version"};
+    return base::Error{base::ErrorCode::Unsupported, "of another version"};
   }
   return opened;
 }
@@ -134,8 +134,8 @@
   auto opened = unsealed(bytes);
   if (const auto* bad = base::errorIn(opened)) return *bad;
   const auto& found = std::get<0>(opened);
-  if (found.version != kDiskVersion) return base::Error{base::Verdict::NotRun, "of another version"};
-  if (found.kind != kind) return base::Error{base::Verdict::NotRun, "of another kind"};
+  if (found.version != kDiskVersion) return base::Error{base::ErrorCode::Unsupported, "of another version"};
+  if (found.kind != kind) return base::Error{base::ErrorCode::Unsupported, "of another kind"};
   return unpack<T>(found.body);
 }
 
@@ -171,7 +171,7 @@
     INDIGOHILL_MESSAGES(INDIGOHILL_DECODE)
 #undef INDIGOHILL_DECODE
     default:
-      return base::Error{base::Verdict::NotRun, "of an unknown kind"};
+      return base::Error{base::ErrorCode::Unsupported, "of an unknown kind"};
   }
 }
 
@@ -180,7 +180,7 @@
   std::string plain;
   auto opened = unsealedMessage(bytes, plain);
   if (const auto* bad = base::errorIn(opened)) return *bad;
-  if (std::get<0>(opened).kind != kContent) return base::Error{base::Verdict::NotRun, "of another kind"};
+  if (std::get<0>(opened).kind != kContent) return base::Error{base::ErrorCode::Unsupported, "of another kind"};
   return unpack<schema::UpdateContent>(std::get<0>(opened).body);
 }
 std::string encodeRecord(const schema::EpochRecord& record) { return sealed(kDiskVersion, kRecord, pack(record)); }
--- a/src/net/link.cpp
+++ b/src/net/link.cpp
@@ -45,7 +45,7 @@
   auto message = decode(bytes);
   if (const auto* bad = base::errorIn(message)) {
     ++dropped_;
-    base::logWarning(base::LogEvent("message_dropped").with("from", settings::text(from)).with("error", bad->what));
+    base::logWarning(base::LogEvent("message_dropped").with("from", settings::text(from)).with("error", bad->message));
     return;
   }
   receive_(std::get<schema::Message>(message), from);
@@ -95,7 +95,7 @@
     const auto limit = kCallLimit + base::Millis(request.body().size() / kSlowestBytesPerMs);
     auto result = co_await channel->client.call(std::move(request), limit);
     if (const auto* bad = base::errorIn(result)) {
-      base::logDebug(base::LogEvent("message_lost").with("to", settings::text(to)).with("error", bad->what));
+      base::logDebug(base::LogEvent("message_lost").with("to", settings::text(to)).with("error", bad->message));
       channel->waiting.clear();
     }
   }
--- a/src/plan/plan.cpp
+++ b/src/plan/plan.cpp
@@ -220,7 +220,7 @@
 }
 
 base::Result<Daemons> parseDaemons(const std::string& text) {
-  const auto wrong = [](const std::string& what) { return base::Error{base::Verdict::NotRun, what}; };
+  const auto wrong = [](const std::string& what) { return base::Error{base::ErrorCode::InvalidInput, what}; };
   json::error_code error;
   const auto value = json::parse(text, error);
   if (error) return wrong("not readable as JSON: " + error.message());
--- a/src/proxy/client_session.cpp
+++ b/src/proxy/client_session.cpp
@@ -1,15 +1,14 @@
-// The client's side of the proxy: connections are accepted, requests read and checked, answers of the router's own
-// sent.
+#include "proxy/client_session.hpp"
+
 #include <algorithm>
 #include <array>
-#include <boost/asio/strand.hpp>
 #include <boost/asio/write.hpp>
 #include <gsl/util>
+#include <memory>
 #include <vector>
 
-#include "proxy/exchange.hpp"
-#include "proxy/executor.hpp"
 #include "proxy/headers.hpp"
+#include "proxy/request_handler.hpp"
 
 namespace indigohill::proxy {
 
@@ -20,12 +19,18 @@
 
 namespace {
 
-// Bounds a read without closing the connection, which the stream's own time-out would: the client is still to be
-// told 408.
-class Bound {
+constexpr Millis kUserTimeout{10000};   // of TCP, for a client that has vanished
+constexpr Millis kRejectTimeout{2000};  // for writing an error
+constexpr Millis kLingerTimeout{500};   // for reading what a client still sends
+constexpr std::size_t kReadBytes = 8192;
+constexpr std::uint64_t kMaxHeaderBytes = 1u << 20;
+
+// Bounds a read without closing the connection, which the stream's own time-out would: the client is still to be sent
+// a 408.
+class ReadTimeout {
  public:
-  Bound(beast::tcp_stream& stream, Millis limit)
-      : timer_(stream.get_executor(), limit), state_(std::make_shared<State>()) {
+  ReadTimeout(beast::tcp_stream& stream, Millis timeout)
+      : timer_(stream.get_executor(), timeout), state_(std::make_shared<State>()) {
     stream.expires_never();
     state_->stream = &stream;
     timer_.async_wait([state = state_](boost::system::error_code error) {
@@ -34,10 +39,10 @@
       state->stream->cancel();
     });
   }
-  ~Bound() { state_->stream = nullptr; }
-  Bound(const Bound&) = delete;
-  Bound& operator=(const Bound&) = delete;
-  bool fired() const { return state_->fired; }
+  ~ReadTimeout() { state_->stream = nullptr; }
+  ReadTimeout(const ReadTimeout&) = delete;
+  ReadTimeout& operator=(const ReadTimeout&) = delete;
+  bool hasFired() const { return state_->fired; }
 
  private:
   struct State {
@@ -69,136 +74,133 @@
   std::vector<const wire::fields::value_type*> head_;
 };
 
+// Why a head must not be passed on; null when it may. Rejected is anything that another reader of the same bytes might
+// frame differently.
+const char* problemOf(const wire::request_header<>& head) {
+  const auto transfer = head[wire::field::transfer_encoding];
+  const bool lengthUnclear =
+      head.count(wire::field::transfer_encoding) > 1 || (!transfer.empty() && !beast::iequals(transfer, "chunked")) ||
+      head.count(wire::field::content_length) > 1 || (!transfer.empty() && head.count(wire::field::content_length) > 0);
+  if (lengthUnclear) return "the length of the body is not clear";
+  if (head.count(wire::field::host) != 1 && head.version() >= 11) return "one Host is wanted";
+  if (head.count(kAttemptId) > 1) return "one attempt id is wanted";
+  return nullptr;
+}
+
 }  // namespace
 
-asio::awaitable<void> Executor::accept(http::tcp::acceptor& acceptor) {
+ClientSession::ClientSession(ProxyState& state, http::tcp::socket socket) : state_(state), client_(std::move(socket)) {
+  http::tune(client_.socket(), kUserTimeout);
+}
+
+asio::awaitable<void> ClientSession::run() {
   for (;;) {
-    auto [error, socket] = co_await acceptor.async_accept(asio::make_strand(executor_), http::kTuple);
-    if (!acceptor.is_open()) co_return;
-    if (error) {
-      asio::steady_timer pause(executor_, Millis(50));
-      co_await pause.async_wait(http::kTuple);
-      continue;
-    }
-    auto strand = socket.get_executor();
-    asio::co_spawn(strand, session(std::move(socket)), asio::detached);
+    const auto snapshot = state_.table.snapshot();
+    const auto limits = snapshot->configuration ? snapshot->configuration->limits : control::Limits{};
+    const auto wait = co_await awaitRequest(limits.idleTimeout);
+    // Closed at once: a request that crosses the close is never read, so its client may send it again.
+    if (wait == Wait::CancelledByShutdown) co_return;
+    if (wait == Wait::Closed) break;
+    const auto request = co_await readRequest(limits);
+    if (!request) break;
+    ++state_.counters.requests;
+    ++state_.counters.active;
+    const auto ended = gsl::finally([this] { --state_.counters.active; });
+    RequestHandler handler(state_, client_, *request, base::Clock::now());
+    const bool keepAlive = co_await handler.run();
+    if (!keepAlive) break;
   }
+  co_await closeGracefully();
 }
 
-asio::awaitable<void> Executor::session(http::tcp::socket socket) {
-  http::tune(socket, Millis(10000));
-  beast::tcp_stream client(std::move(socket));
-  beast::flat_buffer buffer;
-  const auto simple = [&](int status, std::string text) -> asio::awaitable<void> {
-    http::Response out(static_cast<wire::status>(status), 11);
-    out.set(wire::field::content_type, "text/plain");
-    out.keep_alive(false);
-    out.body() = std::move(text);
-    out.prepare_payload();
-    client.expires_after(Millis(2000));
-    co_await wire::async_write(client, out, http::kTuple);
-  };
-  for (;;) {
-    const auto picture = table_.snapshot();
-    const auto limits = picture->configuration ? picture->configuration->limits : control::Limits{};
-    if (buffer.size() == 0) {
-      client.expires_after(limits.idleTimeout);
-      const IdleConnections::Scope idle(idle_, client);
-      auto [error, bytes] = co_await client.async_read_some(buffer.prepare(8192), http::kTuple);
-      // Closed at once: a request that crosses the close is never read, so its client may send it again.
-      if (error == asio::error::operation_aborted && shuttingDown_) co_return;
-      if (error) break;
-      buffer.commit(bytes);
-    }
-    wire::request_parser<wire::string_body> parser;
-    parser.header_limit(static_cast<std::uint32_t>(std::min<std::uint64_t>(limits.maxHeaderBytes, 1u << 20)));
-    parser.body_limit(limits.maxBodyBytes);
-    boost::system::error_code headError;
-    bool headLate = false;
-    {
-      const Bound bound(client, limits.headerTimeout);
-      auto [error, bytes] = co_await wire::async_read_header(client, buffer, parser, http::kTuple);
-      headError = error;
-      headLate = bound.fired();
-    }
-    if (headError) {
-      if (headLate)
-        co_await simple(408, "the head took too long");
-      else if (headError == wire::error::header_limit || headError == wire::error::buffer_overflow)
-        co_await simple(431, "the head is too large");
-      else if (headError == wire::error::body_limit)
-        co_await simple(413, "the body is too large");
-      else if (http::malformed(headError))
-        co_await simple(400, "the head is not HTTP: " + headError.message());
-      break;
-    }
-    const auto& head = parser.get();
-    // Anything that another reader of the same bytes might frame differently is turned away.
-    const auto transfer = head[wire::field::transfer_encoding];
-    if (head.count(wire::field::transfer_encoding) > 1 || (!transfer.empty() && !beast::iequals(transfer, "chunked")) ||
-        head.count(wire::field::content_length) > 1 ||
-        (!transfer.empty() && head.count(wire::field::content_length) > 0)) {
-      co_await simple(400, "the length of the body is not clear");
-      break;
-    }
-    if (head.count(wire::field::host) != 1 && head.version() >= 11) {
-      co_await simple(400, "one Host is wanted");
-      break;
-    }
-    if (head.count(kAttemptId) > 1) {
-      co_await simple(400, "one attempt id is wanted");
-      break;
-    }
-    if (beast::iequals(head[wire::field::expect], "100-continue")) {
-      static constexpr std::string_view go = "HTTP/1.1 100 Continue\r\n\r\n";
-      co_await asio::async_write(client, asio::buffer(go), http::kTuple);
-    }
-    if (!parser.is_done()) {
-      const TrailerFilter trailers(parser);
-      const Bound bound(client, std::max(limits.headerTimeout, limits.idleTimeout));
-      auto [error, bytes] = co_await wire::async_read(client, buffer, parser, http::kTuple);
-      if (error) {
-        if (error == wire::error::body_limit)
-          co_await simple(413, "the body is too large");
-        else if (bound.fired())
-          co_await simple(408, "the body took too long");
-        else if (http::malformed(error))
-          co_await simple(400, "the body is not HTTP: " + error.message());
-        break;
-      }
-      trailers.remove(parser);
-    }
-    auto request = parser.release();
-    ++counters_.requests;
-    ++counters_.active;
-    const auto served = gsl::finally([this] { --counters_.active; });
-    const bool keep = co_await serve(client, request, base::Clock::now());
-    if (!keep) break;
+asio::awaitable<ClientSession::Wait> ClientSession::awaitRequest(Millis idleTimeout) {
+  if (buffer_.size() > 0) co_return Wait::Ready;
+  client_.expires_after(idleTimeout);
+  const IdleConnections::Scope idle(state_.idleClients, client_);
+  auto [error, bytes] = co_await client_.async_read_some(buffer_.prepare(kReadBytes), http::kTuple);
+  if (error == asio::error::operation_aborted && state_.shuttingDown) co_return Wait::CancelledByShutdown;
+  if (error) co_return Wait::Closed;
+  buffer_.commit(bytes);
+  co_return Wait::Ready;
+}
+
+asio::awaitable<std::optional<http::Request>> ClientSession::readRequest(const control::Limits& limits) {
+  Parser parser;
+  parser.header_limit(static_cast<std::uint32_t>(std::min(limits.maxHeaderBytes, kMaxHeaderBytes)));
+  parser.body_limit(limits.maxBodyBytes);
+  const bool hasHead = co_await readHead(parser, limits.headerTimeout);
+  if (!hasHead) co_return std::nullopt;
+  if (const char* problem = problemOf(parser.get())) {
+    co_await reject(400, problem);
+    co_return std::nullopt;
   }
-  boost::system::error_code ignored;
-  client.socket().shutdown(http::tcp::socket::shutdown_send, ignored);
-  // What the client still sends is read for a moment: closing with unread bytes would reset the answer away.
-  client.expires_after(Millis(500));
-  std::array<char, 1024> rest;
-  for (;;) {
-    auto [error, bytes] = co_await client.async_read_some(asio::buffer(rest), http::kTuple);
-    if (error) break;
+  if (beast::iequals(parser.get()[wire::field::expect], "100-continue")) {
+    static constexpr std::string_view kContinue = "HTTP/1.1 100 Continue\r\n\r\n";
+    co_await asio::async_write(client_, asio::buffer(kContinue), http::kTuple);
+  }
+  if (!parser.is_done()) {
+    const TrailerFilter trailers(parser);
+    const bool hasBody = co_await readBody(parser, std::max(limits.headerTimeout, limits.idleTimeout));
+    if (!hasBody) co_return std::nullopt;
+    trailers.remove(parser);
+  }
+  co_return parser.release();
+}
+
+asio::awaitable<bool> ClientSession::readHead(Parser& parser, Millis timeout) {
+  boost::system::error_code error;
+  bool late = false;
+  {
+    const ReadTimeout limit(client_, timeout);
+    auto [readError, bytes] = co_await wire::async_read_header(client_, buffer_, parser, http::kTuple);
+    error = readError;
+    late = limit.hasFired();
   }
+  if (!error) co_return true;
+  if (late)
+    co_await reject(408, "the head took too long");
+  else if (error == wire::error::header_limit || error == wire::error::buffer_overflow)
+    co_await reject(431, "the head is too large");
+  else if (error == wire::error::body_limit)
+    co_await reject(413, "the body is too large");
+  else if (http::malformed(error))
+    co_await reject(400, "the head is not HTTP: " + error.message());
+  co_return false;
+}
+
+asio::awaitable<bool> ClientSession::readBody(Parser& parser, Millis timeout) {
+  const ReadTimeout limit(client_, timeout);
+  auto [error, bytes] = co_await wire::async_read(client_, buffer_, parser, http::kTuple);
+  if (!error) co_return true;
+  if (error == wire::error::body_limit)
+    co_await reject(413, "the body is too large");
+  else if (limit.hasFired())
+    co_await reject(408, "the body took too long");
+  else if (http::malformed(error))
+    co_await reject(400, "the body is not HTTP: " + error.message());
+  co_return false;
 }
 
-asio::awaitable<bool> Executor::reply(Exchange& exchange, int status, std::string body, double retryAfterS) {
+asio::awaitable<void> ClientSession::reject(int status, std::string reason) {
   http::Response out(static_cast<wire::status>(status), 11);
   out.set(wire::field::content_type, "text/plain");
-  if (!exchange.attemptId.empty()) out.set(kAttemptId, exchange.attemptId);
-  if (retryAfterS > 0) out.set(wire::field::retry_after, fmt::format("{:.2f}", retryAfterS));
-  out.keep_alive(keepAlive(exchange.request));
-  out.body() = std::move(body);
+  out.keep_alive(false);
+  out.body() = std::move(reason);
   out.prepare_payload();
-  // An answer to HEAD tells the length of a body that does not follow.
-  if (exchange.request.method() == wire::verb::head) out.body().clear();
-  exchange.client.expires_after(Millis(5000));
-  auto [error, bytes] = co_await wire::async_write(exchange.client, out, http::kTuple);
-  co_return !error && out.keep_alive();
+  client_.expires_after(kRejectTimeout);
+  co_await wire::async_write(client_, out, http::kTuple);
+}
+
+// What the client still sends is read for a moment: closing with unread bytes would reset the response away.
+asio::awaitable<void> ClientSession::closeGracefully() {
+  boost::system::error_code ignored;
+  client_.socket().shutdown(http::tcp::socket::shutdown_send, ignored);
+  client_.expires_after(kLingerTimeout);
+  std::array<char, 1024> discarded;
+  for (;;) {
+    auto [error, bytes] = co_await client_.async_read_some(asio::buffer(discarded), http::kTuple);
+    if (error) co_return;
+  }
 }
 
 }  // namespace indigohill::proxy
--- a/src/proxy/events.cpp
+++ b/src/proxy/event_splitter.cpp
@@ -1,4 +1,4 @@
-#include "proxy/events.hpp"
+#include "proxy/event_splitter.hpp"
 
 #include <algorithm>
 #include <charconv>
@@ -7,7 +7,7 @@
 namespace indigohill::proxy {
 
 namespace {
-// The end of the last whole event: behind its blank line.
+// The end of the last complete event: behind its blank line.
 std::size_t lastEnd(std::string_view text) {
   const auto lf = text.rfind("\n\n");
   const auto crlf = text.rfind("\r\n\r\n");
@@ -31,24 +31,24 @@
 }
 }  // namespace
 
-bool goesOnBehind(std::string_view events, const std::string& lastId) {
-  EventCutter first;
-  first.take(events.substr(0, firstEnd(events)));
+bool continuesAfter(std::string_view events, const std::string& lastId) {
+  EventSplitter first;
+  first.append(events.substr(0, firstEnd(events)));
   const auto before = eventNumber(lastId), next = eventNumber(first.lastId());
   return !before || !next || *next > *before;
 }
 
-std::string EventCutter::take(std::string_view bytes) {
+std::string EventSplitter::append(std::string_view bytes) {
   rest_.append(bytes);
   const auto end = lastEnd(rest_);
   if (end == 0) return {};
-  auto whole = rest_.substr(0, end);
+  auto complete = rest_.substr(0, end);
   rest_.erase(0, end);
-  noteIds(whole);
-  return whole;
+  noteIds(complete);
+  return complete;
 }
 
-void EventCutter::noteIds(std::string_view events) {
+void EventSplitter::noteIds(std::string_view events) {
   std::size_t at = 0;
   while (at < events.size()) {
     auto end = events.find('\n', at);
--- a/src/proxy/exchange.hpp
+++ b/src/proxy/exchange.hpp
@@ -1,53 +1,66 @@
 #pragma once
 #include <optional>
 #include <string>
+#include <utility>
 
-#include "base/result.hpp"
 #include "http/types.hpp"
-#include "proxy/events.hpp"
+#include "proxy/event_splitter.hpp"
 #include "rollout/versions.hpp"
+#include "routing/attempt_error.hpp"
 #include "routing/table.hpp"
 
-// What the parts of the proxy share about one request under way.
 namespace indigohill::proxy {
 
-// One request under way and what the client has of its answer.
+// One request in progress and what the client has of its response.
 struct Exchange {
+  Exchange(http::beast::tcp_stream& clientStream, const http::Request& clientRequest, const control::Route& itsRoute)
+      : client(clientStream), request(clientRequest), route(itsRoute) {}
+
   http::beast::tcp_stream& client;
   const http::Request& request;
   const control::Route& route;
-  std::string attemptId;
+  std::string attemptId;  // the client's
   std::string service;
-  base::TimePoint deadline;
-  bool stream = false;   // answered as events come
-  bool started = false;  // the client has bytes of the answer
-  bool keep = true;      // the client was told that its connection can be used further
-  EventCutter events;
+  base::TimePoint arrivedAt, deadline;
+  bool stream = false;    // relayed event by event
+  bool started = false;   // the client has bytes of the response
+  bool keepAlive = true;  // the client was told that its connection can be used further
+  EventSplitter events;
   std::string resumeFrom;                   // Last-Event-Id for the next runner
-  base::TimePoint firstAt{};                // when the first event left
-  base::TimePoint sentAt{};                 // when it went to the runner that has it now
-  routing::Admission* admission = nullptr;  // the place at the runner that has it now
+  base::TimePoint firstEventAt{};           // when the first event was sent to the client
+  base::TimePoint sentAt{};                 // when the request was sent to the runner that has it now
+  routing::Admission* admission = nullptr;  // the slot at the runner that has it now
   std::optional<http::Response> failure;    // a runner's own 5xx, passed on if no other runner does better
-  // Weights of the runner that the stream's events come from, as its answers tell; and what is expected of this try.
-  std::optional<std::uint64_t> version, expected;
-  bool versionChanged = false;  // within the stream, as the record allows
+  // Version of the weights at the runner that the stream's events come from, as its responses tell; and the version
+  // that is expected of this attempt.
+  std::optional<std::uint64_t> version, expectedVersion;
+  bool versionChanged = false;  // within the stream, as the rollout allows
 };
 
-// How a call to a runner ended.
-struct CallOutcome {
+// How an attempt at a runner ended.
+struct AttemptOutcome {
   enum class End {
-    Answered,    // the client has its whole answer
-    ClientGone,  // nobody to answer any more
-    Refused,     // the runner said that it did not run it
-    Unreached,   // no connection to it came about
-    Fault        // the runner broke off; `verdict` says whether it may have run
-  } end = End::Fault;
-  base::Verdict verdict = base::Verdict::MayHaveRun;
-  std::string what;
-  std::optional<rollout::Told> otherVersion{};  // what the runner told instead of what it should have been
-};
+    Answered,     // the client has its complete response
+    ClientGone,   // nobody to respond to any more
+    Rejected,     // the runner said that it did not run the request
+    Unreachable,  // no connection to it came about
+    Failed        // the runner broke off; `error` says whether the request may have run
+  };
+  End end = End::Failed;
+  routing::AttemptError error;
+  std::optional<rollout::Told> otherVersion{};  // what the runner told instead of the expected version
 
-// Why a call fails whose runner loads other weights between two events of its stream.
-inline constexpr const char* kWeightsChange = "the weights change within the stream";
+  static AttemptOutcome answered() { return {End::Answered, {routing::ExecutionStatus::Ran, {}}}; }
+  static AttemptOutcome clientGone() { return {End::ClientGone, {routing::ExecutionStatus::Ran, {}}}; }
+  static AttemptOutcome rejected(std::string message) {
+    return {End::Rejected, {routing::ExecutionStatus::NotRun, std::move(message)}};
+  }
+  static AttemptOutcome unreachable(std::string message) {
+    return {End::Unreachable, {routing::ExecutionStatus::NotRun, std::move(message)}};
+  }
+  static AttemptOutcome failed(std::string message, std::optional<rollout::Told> otherVersion = {}) {
+    return {End::Failed, {routing::ExecutionStatus::MayHaveRun, std::move(message)}, otherVersion};
+  }
+};
 
 }  // namespace indigohill::proxy
--- a/src/proxy/headers.cpp
+++ b/src/proxy/headers.cpp
@@ -13,32 +13,33 @@
 
 namespace {
 
-constexpr Millis kRunnerIdle{60000};
+constexpr Millis kDefaultIdleTime{60000};
 
-// Heads of answers are copied by this list: what a runner may tell a client, and nothing that concerns a connection.
-constexpr std::array kAnswerHeads{"Content-Type",
-                                  "Content-Language",
-                                  "Content-Encoding",
-                                  "Content-Disposition",
-                                  "Content-Range",
-                                  "Cache-Control",
-                                  "ETag",
-                                  "Expires",
-                                  "Last-Modified",
-                                  "Location",
-                                  "Vary",
-                                  "Date",
-                                  "Set-Cookie",
-                                  "Retry-After",
-                                  "Accept-Ranges",
-                                  "WWW-Authenticate",
-                                  "X-Request-Id",
-                                  kAttemptId,
-                                  kSeal,
-                                  kLoad,
-                                  "Indigohill-Instance-Id",
-                                  kWeightVersions,
-                                  "Indigohill-Token-Usage"};
+// The headers of responses are copied by this list: what a runner may tell a client, and nothing that concerns a
+// connection.
+constexpr std::array kResponseHeaders{"Content-Type",
+                                      "Content-Language",
+                                      "Content-Encoding",
+                                      "Content-Disposition",
+                                      "Content-Range",
+                                      "Cache-Control",
+                                      "ETag",
+                                      "Expires",
+                                      "Last-Modified",
+                                      "Location",
+                                      "Vary",
+                                      "Date",
+                                      "Set-Cookie",
+                                      "Retry-After",
+                                      "Accept-Ranges",
+                                      "WWW-Authenticate",
+                                      "X-Request-Id",
+                                      kAttemptId,
+                                      kSeal,
+                                      kLoad,
+                                      "Indigohill-Instance-Id",
+                                      kWeightVersions,
+                                      "Indigohill-Token-Usage"};
 
 bool concernsConnection(const wire::fields::value_type& field, const std::vector<std::string>& named) {
   switch (field.name()) {
@@ -67,7 +68,7 @@
 Millis idleTimeOf(const wire::fields& head) {
   const auto text = view(head[wire::field::keep_alive]);
   const auto at = text.find("timeout=");
-  if (at == std::string_view::npos) return kRunnerIdle;
+  if (at == std::string_view::npos) return kDefaultIdleTime;
   auto rest = text.substr(at + 8);
   rest = rest.substr(0, rest.find_first_not_of("0123456789"));
   // A second early: the runner must not close it just as the next request is on its way.
@@ -94,8 +95,8 @@
   return out;
 }
 
-void copyAnswerHead(const wire::fields& from, wire::fields& to) {
-  for (const auto* name : kAnswerHeads) {
+void copyResponseHead(const wire::fields& from, wire::fields& to) {
+  for (const auto* name : kResponseHeaders) {
     const auto range = from.equal_range(name);
     for (auto it = range.first; it != range.second; ++it) to.insert(it->name(), it->name_string(), it->value());
   }
--- a/src/proxy/headers.hpp
+++ b/src/proxy/headers.hpp
@@ -38,10 +38,10 @@
 http::Request forRunner(const http::Request& in, const std::string& instanceId, base::Millis left,
                         const std::string& lastEventId, std::optional<std::uint64_t> expectedVersion = {});
 
-// The headers of a runner's answer that a client gets: those on the allow list.
-void copyAnswerHead(const http::wire::fields& from, http::wire::fields& to);
+// The headers of a runner's response that a client gets: those on the allow list.
+void copyResponseHead(const http::wire::fields& from, http::wire::fields& to);
 
-// How long the runner says that it keeps the connection, less a second.
+// How long the runner announces that it keeps an idle connection, less a second.
 base::Millis idleTimeOf(const http::wire::fields& head);
 
 }  // namespace indigohill::proxy
--- /dev/null
+++ b/src/proxy/proxy_state.hpp
@@ -0,0 +1,42 @@
+#pragma once
+#include <atomic>
+#include <cstdint>
+#include <memory>
+
+#include "base/log.hpp"
+#include "http/types.hpp"
+#include "proxy/connection_pool.hpp"
+#include "proxy/idle_connections.hpp"
+#include "proxy/request_queue.hpp"
+#include "routing/table.hpp"
+
+namespace indigohill::proxy {
+
+struct Counters {
+  std::atomic<std::uint64_t> requests{0}, passed{0}, retried{0}, resumed{0}, rejected{0}, cut{0}, failed{0};
+  std::atomic<std::int64_t> active{0};  // requests in progress
+};
+
+// What all client sessions of a router share. Thread-safe, but for `trafficLog`, which is set before the first session.
+struct ProxyState {
+  static constexpr std::size_t kMaxQueuedRequests = 512;  // that wait for a free slot at a runner
+
+  ProxyState(http::asio::any_io_executor executor, routing::Table& routingTable)
+      : table(routingTable), pool(std::move(executor)), queue(kMaxQueuedRequests) {}
+
+  // Whether the client's connection may carry a further request.
+  bool keepAlive(const http::Request& request) const { return request.keep_alive() && !shuttingDown; }
+  // Whether a request with this deadline might still be in progress when the process ends.
+  bool mayBeCutOff(base::TimePoint deadline) const { return shuttingDown && deadline > endsAt.load(); }
+
+  routing::Table& table;
+  ConnectionPool pool;
+  RequestQueue queue;
+  IdleConnections idleClients;
+  Counters counters;
+  std::shared_ptr<spdlog::logger> trafficLog;  // null: requests are not recorded
+  std::atomic<bool> shuttingDown{false};
+  std::atomic<base::TimePoint> endsAt{base::TimePoint::max()};  // of the process, while it is shutting down
+};
+
+}  // namespace indigohill::proxy
--- a/src/proxy/request_queue.hpp
+++ b/src/proxy/request_queue.hpp
@@ -8,18 +8,18 @@
 
 namespace indigohill::proxy {
 
-// Requests that wait for a place at a runner: the most urgent first, among equals the oldest. Bounded, so that what
-// waits can still be served within its aim.
+// Requests that wait for a free slot at a runner: the most urgent first, among equals the oldest. Bounded, so that what
+// waits can still be served within its latency target. Thread-safe.
 class RequestQueue {
  public:
-  explicit RequestQueue(std::size_t most) : most_(most) {}
+  explicit RequestQueue(std::size_t capacity) : capacity_(capacity) {}
 
-  // Waits until woken or until `until`; false at once when the list is full.
+  // Waits until woken or until `until`; false at once when the queue is full. `priority`: 0 is the most urgent.
   http::asio::awaitable<bool> wait(std::uint32_t priority, base::TimePoint until) {
     auto timer = std::make_shared<http::asio::steady_timer>(co_await http::asio::this_coro::executor, until);
     {
       const std::lock_guard lock(mutex_);
-      if (waiting_.size() >= most_) co_return false;
+      if (waiting_.size() >= capacity_) co_return false;
       waiting_.emplace(priority, timer);
     }
     co_await timer->async_wait(http::kTuple);
@@ -32,7 +32,7 @@
     co_return true;
   }
 
-  // A place has come free: the first in line asks again.
+  // A slot has come free: the first in the queue asks again.
   void wake() {
     std::shared_ptr<http::asio::steady_timer> first;
     {
@@ -45,10 +45,9 @@
     http::asio::post(first->get_executor(), [first] { first->cancel(); });
   }
 
-  // Something has changed for all: a configuration, runners.
+  // Wakes all that wait now.
   void wakeAll() {
-    std::size_t most = size();
-    while (most-- > 0) wake();
+    for (auto count = size(); count > 0; --count) wake();
   }
 
   std::size_t size() const {
@@ -57,7 +56,7 @@
   }
 
  private:
-  std::size_t most_;
+  std::size_t capacity_;
   mutable std::mutex mutex_;
   std::multimap<std::uint32_t, std::shared_ptr<http::asio::steady_timer>> waiting_;
 };
--- a/src/proxy/answer_head.cpp
+++ b/src/proxy/response_head.cpp
@@ -1,4 +1,4 @@
-#include "proxy/answer_head.hpp"
+#include "proxy/response_head.hpp"
 
 #include "proxy/headers.hpp"
 
@@ -8,7 +8,7 @@
 
 namespace {
 
-// Whether a status line stands within the text, as where one answer was cut off and the next one follows.
+// Whether a status line stands within the text, as where one response was cut off and the next one follows.
 bool holdsStatusLine(std::string_view text) {
   static constexpr std::string_view version = "HTTP/1.";
   const auto isDigit = [](char c) { return c >= '0' && c <= '9'; };
@@ -33,14 +33,14 @@
 
 }  // namespace
 
-AnswerOwner ownerOfAnswer(const wire::response_header<>& head, std::string_view attemptId, bool mayHoldOthers) {
-  if (isMalformed(head)) return AnswerOwner::Malformed;
+ResponseOwner ownerOfResponse(const wire::response_header<>& head, std::string_view attemptId, bool mayHoldOthers) {
+  if (isMalformed(head)) return ResponseOwner::Malformed;
   const auto status = head.result_int();
   if (status >= 100 && status < 200)
-    return head.result() == wire::status::switching_protocols ? AnswerOwner::Malformed : AnswerOwner::Interim;
+    return head.result() == wire::status::switching_protocols ? ResponseOwner::Malformed : ResponseOwner::Interim;
   const auto echoed = view(head[kAttemptId]);
-  if (echoed.empty()) return mayHoldOthers ? AnswerOwner::Unknown : AnswerOwner::ThisRequest;
-  return echoed == attemptId ? AnswerOwner::ThisRequest : AnswerOwner::OtherRequest;
+  if (echoed.empty()) return mayHoldOthers ? ResponseOwner::Unknown : ResponseOwner::ThisRequest;
+  return echoed == attemptId ? ResponseOwner::ThisRequest : ResponseOwner::OtherRequest;
 }
 
 }  // namespace indigohill::proxy
--- a/src/proxy/runner_call.cpp
+++ b/src/proxy/runner_call.cpp
@@ -1,222 +1,284 @@
-// One call to a runner: the request is sent, the answer that belongs to it found and judged, and, if it is no stream,
-// read whole and passed on. What each end of a call means is in docs/control/calls.md.
+#include "proxy/runner_call.hpp"
+
 #include <array>
+#include <utility>
 
 #include "base/hash.hpp"
-#include "base/log.hpp"
-#include "proxy/answer_head.hpp"
-#include "proxy/exchange.hpp"
-#include "proxy/executor.hpp"
 #include "proxy/headers.hpp"
-#include "proxy/silence_watch.hpp"
-#include "proxy/socket_timer.hpp"
+#include "proxy/response_head.hpp"
+#include "proxy/stream_relay.hpp"
 #include "rollout/versions.hpp"
 
 namespace indigohill::proxy {
 
 namespace asio = http::asio;
-namespace beast = http::beast;
 namespace wire = http::wire;
 using base::Millis;
-using base::Verdict;
+using routing::AttemptResult;
 
 namespace {
 
-constexpr std::size_t kBodyBuffered = 32u << 20;
-constexpr int kInterimMost = 16;  // 1xx answers before a final one
-constexpr Millis kAimUnknown{1000};
-
-// Reads an answer to its end without keeping it; false if it breaks off.
-asio::awaitable<bool> skipBody(Connection& connection, wire::response_parser<wire::buffer_body>& parser) {
-  std::array<char, 4096> waste;
-  while (!parser.is_done()) {
-    parser.get().body().data = waste.data();
-    parser.get().body().size = waste.size();
-    auto [error, bytes] = co_await wire::async_read_some(connection.stream, connection.buffer, parser, http::kTuple);
-    if (error && error != wire::error::need_buffer) co_return false;
-  }
-  co_return true;
+constexpr std::size_t kMaxBodyBytes = 32u << 20;  // of a response that is no stream
+constexpr int kMaxInterimResponses = 16;          // 1xx before a final one
+constexpr Millis kDefaultLatencyTarget{1000};
+constexpr Millis kClientWriteTimeout{10000};
+
+bool isServerError(int status) { return status >= 500; }
+
+// To a client these statuses promise that the request has not run.
+bool promisesNotRun(int status) { return status == 429 || status == 503 || status == 408; }
+
+// `Indigohill-Instance-Load`: running, waiting, slots.
+void reportLoad(routing::Table& table, const std::string& instanceId, std::string_view load) {
+  const auto first = load.find(',');
+  const auto second = load.find(',', first == std::string_view::npos ? first : first + 1);
+  if (second == std::string_view::npos) return;
+  table.reportLoad(instanceId, number<std::uint32_t>(load.substr(0, first), 0),
+                   number<std::uint32_t>(load.substr(first + 1, second - first - 1), 0),
+                   number<std::uint32_t>(load.substr(second + 1), 0), base::Clock::now());
 }
 
 }  // namespace
 
-asio::awaitable<CallOutcome> Executor::attempt(Exchange& exchange, routing::PassTo& to) {
-  using End = CallOutcome::End;
-  auto taken =
-      co_await pool_.take(exchange.service, to.instanceId, to.address, exchange.route.repeatable(), exchange.deadline);
-  if (const auto* bad = base::errorIn(taken)) {
-    table_.recordResult(to.instanceId, routing::AttemptResult::Failure, base::Clock::now());
-    co_return CallOutcome{End::Unreached, Verdict::NotRun, bad->what};
+asio::awaitable<AttemptOutcome> RunnerCall::run() {
+  if (auto ended = co_await acquire()) co_return *std::move(ended);
+  if (auto ended = co_await send()) co_return *std::move(ended);
+  if (auto ended = co_await awaitHead()) co_return *std::move(ended);
+  recordHead();
+  if (isRejection()) co_return co_await handleRejection();
+  if (auto ended = judgeHead()) co_return *std::move(ended);
+  auto outcome = co_await passOn();
+  recordOutcome(outcome);
+  if (outcome.end == AttemptOutcome::End::Answered) releaseConnection();
+  co_return outcome;
+}
+
+asio::awaitable<std::optional<AttemptOutcome>> RunnerCall::acquire() {
+  auto acquired = co_await state_.pool.acquire(exchange_.service, target_.instanceId, target_.address,
+                                               exchange_.route.repeatable(), exchange_.deadline);
+  if (const auto* bad = base::errorIn(acquired)) {
+    recordFailure();
+    co_return AttemptOutcome::unreachable(bad->message);
   }
-  auto connection = std::get<0>(std::move(taken));
-  auto& stream = connection->stream;
+  connection_ = std::get<0>(std::move(acquired));
+  co_return std::nullopt;
+}
+
+asio::awaitable<std::optional<AttemptOutcome>> RunnerCall::send() {
   const auto strand = co_await asio::this_coro::executor;
-  SocketTimer deadline(strand, stream.socket(), exchange.deadline);
-  const auto left = std::chrono::duration_cast<Millis>(exchange.deadline - base::Clock::now());
-  if (left.count() <= 0) co_return CallOutcome{End::Fault, Verdict::NotRun, "out of time"};
-  const auto outgoing = forRunner(exchange.request, to.instanceId, left, exchange.resumeFrom, exchange.expected);
-  // A reset on a reused connection before any byte of an answer: the runner had forgotten it, which is no fault of its
-  // health. Whether it has read the request is not known all the same.
-  const auto failed = [&](const boost::system::error_code& error, bool answered) {
-    if (deadline.expired()) return;
-    if (connection->reused && !answered && error != asio::error::operation_aborted)
-      pool_.reused(exchange.service, *connection, true);
-    else
-      table_.recordResult(to.instanceId, routing::AttemptResult::Failure, base::Clock::now());
-  };
-  auto [writeError, written] = co_await wire::async_write(stream, outgoing, http::kTuple);
-  // A runner may have turned the request away before all of it was sent, and closed: its answer is still to be read.
-  if (writeError && deadline.expired())
-    co_return CallOutcome{End::Fault, Verdict::MayHaveRun, "sending: " + writeError.message()};
-
-  const auto aim = exchange.route.targetLatency.count() > 0 ? exchange.route.targetLatency : kAimUnknown;
-  SilenceWatch watch(strand, table_, to.instanceId, *connection, aim,
-                     exchange.route.repeatable() && (!exchange.started || !exchange.resumeFrom.empty()));
-  std::unique_ptr<wire::response_parser<wire::buffer_body>> parser;
-  bool strayed = false;
+  deadline_.emplace(strand, connection_->stream.socket(), exchange_.deadline);
+  const auto remaining = std::chrono::duration_cast<Millis>(exchange_.deadline - base::Clock::now());
+  if (remaining.count() <= 0) {
+    AttemptOutcome outOfTime{AttemptOutcome::End::Failed, {routing::ExecutionStatus::NotRun, "out of time"}};
+    co_return outOfTime;
+  }
+  const auto outgoing =
+      forRunner(exchange_.request, target_.instanceId, remaining, exchange_.resumeFrom, exchange_.expectedVersion);
+  auto [error, bytes] = co_await wire::async_write(connection_->stream, outgoing, http::kTuple);
+  writeError_ = error;
+  // A runner may have rejected the request before all of it was sent, and closed: its response is still to be read.
+  if (writeError_ && deadline_->expired()) co_return AttemptOutcome::failed("sending: " + writeError_.message());
+  co_return std::nullopt;
+}
+
+// Reads up to the head of the response that belongs to the request.
+asio::awaitable<std::optional<AttemptOutcome>> RunnerCall::awaitHead() {
+  const auto& route = exchange_.route;
+  const auto latencyTarget = route.targetLatency.count() > 0 ? route.targetLatency : kDefaultLatencyTarget;
+  const bool mayAbort = route.repeatable() && (!exchange_.started || !exchange_.resumeFrom.empty());
+  watchdog_.emplace(co_await asio::this_coro::executor, state_.table, target_.instanceId, *connection_, latencyTarget,
+                    mayAbort);
   for (int interim = 0;;) {
-    parser = std::make_unique<wire::response_parser<wire::buffer_body>>();
-    parser->body_limit(boost::none);
-    if (exchange.request.method() == wire::verb::head) parser->skip(true);
-    auto [error, bytes] = co_await wire::async_read_header(stream, connection->buffer, *parser, http::kTuple);
+    parser_ = std::make_unique<Parser>();
+    parser_->body_limit(boost::none);
+    if (exchange_.request.method() == wire::verb::head) parser_->skip(true);
+    auto [error, bytes] =
+        co_await wire::async_read_header(connection_->stream, connection_->buffer, *parser_, http::kTuple);
     if (error) {
-      if (watch.tookAway()) co_return CallOutcome{End::Fault, Verdict::MayHaveRun, "silent, and held to be ill"};
-      failed(error, bytes > 0 || connection->buffer.size() > 0);
-      co_return CallOutcome{
-          End::Fault, Verdict::MayHaveRun,
-          writeError ? "sending: " + writeError.message() : "waiting for the answer: " + error.message()};
+      if (watchdog_->hasAborted()) co_return AttemptOutcome::failed("silent, and held to be unhealthy");
+      recordTransportFailure(error, bytes > 0 || connection_->buffer.size() > 0);
+      co_return AttemptOutcome::failed(writeError_ ? "sending: " + writeError_.message()
+                                                   : "waiting for the response: " + error.message());
     }
-    const auto owner = ownerOfAnswer(parser->get(), exchange.attemptId, connection->reused || strayed);
-    if (owner == AnswerOwner::ThisRequest) break;
-    if (owner == AnswerOwner::Interim && ++interim <= kInterimMost) continue;
-    // The late answer to another request, in the place of this one's: read past once; the connection is not used
-    // again afterwards.
-    const bool first = owner == AnswerOwner::OtherRequest && !std::exchange(strayed, true);
-    if (!first || !co_await skipBody(*connection, *parser)) {
-      table_.recordResult(to.instanceId, routing::AttemptResult::Failure, base::Clock::now());
-      co_return CallOutcome{End::Fault, Verdict::MayHaveRun, "no answer to this request"};
+    const auto owner = ownerOfResponse(parser_->get(), exchange_.attemptId, connection_->reused || skippedOther_);
+    if (owner == ResponseOwner::ThisRequest) break;
+    if (owner == ResponseOwner::Interim && ++interim <= kMaxInterimResponses) continue;
+    // The late response to another request, in the place of this one's: skipped once; the connection is not used again
+    // afterwards.
+    const bool skippable = owner == ResponseOwner::OtherRequest && !std::exchange(skippedOther_, true);
+    const bool skipped = skippable && co_await skipBody();
+    if (!skipped) {
+      recordFailure();
+      co_return AttemptOutcome::failed("no response to this request");
     }
   }
-  watch.end();
-  if (connection->reused) pool_.reused(exchange.service, *connection, false);
-  const auto& head = parser->get();
-  const auto status = static_cast<int>(head.result_int());
-  if (const auto load = view(head[kLoad]); !load.empty()) {
-    const auto first = load.find(','), second = load.find(',', first == std::string_view::npos ? first : first + 1);
-    if (second != std::string_view::npos)
-      table_.reportLoad(to.instanceId, number<std::uint32_t>(load.substr(0, first), 0),
-                        number<std::uint32_t>(load.substr(first + 1, second - first - 1), 0),
-                        number<std::uint32_t>(load.substr(second + 1), 0), base::Clock::now());
-  }
+  watchdog_->stop();
+  if (connection_->reused) state_.pool.recordReuse(exchange_.service, *connection_, false);
+  co_return std::nullopt;
+}
+
+// What the head tells of the runner, whatever becomes of the request.
+void RunnerCall::recordHead() {
+  const auto& head = parser_->get();
+  if (const auto load = view(head[kLoad]); !load.empty()) reportLoad(state_.table, target_.instanceId, load);
   // Parts of prompts that were kept are of the weights they were computed with.
   const auto weights = view(head[kWeightVersions]);
-  const auto told = rollout::parseVersions(weights);
+  toldVersion_ = rollout::parseVersions(weights);
   if (!weights.empty())
-    table_.setRevision(to.instanceId, base::hash(view(exchange.request[kModel])),
-                       told.version && !told.mixed ? *told.version : base::hash(weights));
-  const bool notRun = head.count(kNotExecuted) > 0 || status == 421;
-  if (!notRun && status < 500 && !watch.late()) table_.recordInTime(to.instanceId, base::Clock::now());
-  const bool otherVersion = exchange.expected && told.otherThan(*exchange.expected);
-  const bool echoes = view(head[kAttemptId]) == exchange.attemptId && !exchange.attemptId.empty();
-  CallOutcome outcome;
-  const auto idle = idleTimeOf(head);
-  const bool reusable = head.keep_alive() && !strayed && !writeError;
-  if (writeError && !notRun) {
-    failed(writeError, true);
-    co_return CallOutcome{End::Fault, Verdict::MayHaveRun, "sending: " + writeError.message()};
+    state_.table.setRevision(target_.instanceId, base::hash(view(exchange_.request[kModel])),
+                             toldVersion_.version && !toldVersion_.mixed ? *toldVersion_.version : base::hash(weights));
+  if (!isRejection() && !isServerError(static_cast<int>(head.result_int())) && !watchdog_->isLate())
+    state_.table.recordInTime(target_.instanceId, base::Clock::now());
+}
+
+// Whether the runner says that it did not run the request.
+bool RunnerCall::isRejection() const {
+  const auto& head = parser_->get();
+  return head.count(kNotExecuted) > 0 || head.result() == wire::status::misdirected_request;
+}
+
+asio::awaitable<AttemptOutcome> RunnerCall::handleRejection() {
+  const auto& head = parser_->get();
+  const auto status = head.result_int();
+  // One that has other weights by now is healthy, so it is no evidence against it. What a client alone asked for tells
+  // nothing about the runner's entry in the list.
+  const bool otherWeights = head.result() == wire::status::misdirected_request && exchange_.expectedVersion;
+  record(otherWeights ? AttemptResult::Success : AttemptResult::Rejected);
+  if (otherWeights && exchange_.expectedVersion == target_.expectedVersion)
+    state_.table.versionRejected(target_.instanceId, base::Clock::now());
+  if (co_await skipBody()) releaseConnection();
+  co_return AttemptOutcome::rejected("rejected with " + std::to_string(status));
+}
+
+// A head that ends the attempt: of a response to a request that was not sent whole, or not from a runner that serves
+// it.
+std::optional<AttemptOutcome> RunnerCall::judgeHead() {
+  if (writeError_) {
+    recordTransportFailure(writeError_, true);
+    return AttemptOutcome::failed("sending: " + writeError_.message());
   }
-  if (notRun) {
-    // One that has other weights by now is well, so it is no evidence of illness. What a client alone wished for tells
-    // nothing about the runner's entry in the list.
-    const bool otherWeights = status == 421 && exchange.expected;
-    table_.recordResult(to.instanceId,
-                        otherWeights ? routing::AttemptResult::Success : routing::AttemptResult::Rejected,
-                        base::Clock::now());
-    if (otherWeights && exchange.expected == to.expectedVersion)
-      table_.versionRejected(to.instanceId, base::Clock::now());
-    outcome = {End::Refused, Verdict::NotRun, "turned away with " + std::to_string(status)};
-    if (!co_await skipBody(*connection, *parser)) co_return outcome;
-  } else if (status < 300 && (!echoes || head.count(kSeal) == 0)) {
-    table_.recordResult(to.instanceId, routing::AttemptResult::Failure, base::Clock::now());
-    co_return CallOutcome{End::Fault, Verdict::MayHaveRun, "an answer without id or seal"};
-  } else if (otherVersion && status < 300) {
-    // It has run, so it is no success and promises nothing.
-    outcome = {End::Fault, Verdict::MayHaveRun,
-               fmt::format("{} answered with weights {} where {} were expected", to.instanceId,
-                           std::string(head[kWeightVersions]), *exchange.expected),
-               told};
-  } else if (exchange.stream && status == 200) {
-    if (!exchange.started) exchange.version.reset();
-    if (told.version && !told.mixed) exchange.version = told.version;
-    if (!exchange.version) exchange.version = exchange.expected;
-    outcome = co_await relayEvents(exchange, *connection, *parser);
-  } else {
-    outcome = co_await answerWhole(exchange, *connection, *parser, to.instanceId);
+  const auto& head = parser_->get();
+  const bool echoesId = !exchange_.attemptId.empty() && view(head[kAttemptId]) == exchange_.attemptId;
+  if (head.result_int() < 300 && (!echoesId || head.count(kSeal) == 0)) {
+    recordFailure();
+    return AttemptOutcome::failed("a response without id or seal");
   }
-  const auto now = base::Clock::now();
-  // Its 504 at the deadline says nothing of its health.
-  const bool ownFailure = status >= 500 && status != 504;
-  if (outcome.end == End::Answered)
-    table_.recordResult(to.instanceId, ownFailure ? routing::AttemptResult::Failure : routing::AttemptResult::Success,
-                        now);
-  // A runner of other weights is well; it just must not serve this.
-  if (outcome.otherVersion)
-    table_.versionMismatched(to.instanceId, view(exchange.request[kModel]),
-                             outcome.otherVersion->mixed ? std::nullopt : outcome.otherVersion->version);
-  else if (outcome.end == End::Fault && now < exchange.deadline)
-    table_.recordResult(to.instanceId, routing::AttemptResult::Failure, now);
-  const bool ended = outcome.end == End::Answered || outcome.end == End::Refused;
-  if (ended && reusable && parser->is_done() && !deadline.expired()) {
-    deadline.stop();
-    pool_.giveBack(to.instanceId, std::move(connection), idle);
-  }
-  co_return outcome;
+  return std::nullopt;
 }
 
-// An answer that is no stream: read whole before a byte of it is passed on, so that the client gets all or nothing.
-asio::awaitable<CallOutcome> Executor::answerWhole(Exchange& exchange, Connection& connection,
-                                                   wire::response_parser<wire::buffer_body>& parser,
-                                                   const std::string& instanceId) {
-  using End = CallOutcome::End;
-  http::Response out(parser.get().result(), 11);
-  copyAnswerHead(parser.get(), out);
-  std::array<char, 16384> part;
-  while (!parser.is_done()) {
-    parser.get().body().data = part.data();
-    parser.get().body().size = part.size();
-    auto [error, bytes] = co_await wire::async_read_some(connection.stream, connection.buffer, parser, http::kTuple);
-    if (error && error != wire::error::need_buffer)
-      co_return CallOutcome{End::Fault, Verdict::MayHaveRun, "the answer breaks off: " + error.message()};
-    out.body().append(part.data(), part.size() - parser.get().body().size);
-    if (out.body().size() > kBodyBuffered)
-      co_return CallOutcome{End::Fault, Verdict::MayHaveRun, "the answer is too large"};
-  }
-  const auto status = out.result_int();
-  // To a client these statuses promise that the request has not run. The runner gave no such word.
-  if (status == 429 || status == 503 || status == 408)
-    co_return CallOutcome{End::Fault, Verdict::MayHaveRun, instanceId + " answered " + std::to_string(status)};
-  if (exchange.started) co_return CallOutcome{End::Fault, Verdict::MayHaveRun, "answered " + std::to_string(status)};
-  if (exchange.route.type == control::RouteType::Streaming && status < 300) {
-    auto version = rollout::parseVersions(view(parser.get()[kWeightVersions])).version;
-    const auto may = [&](std::uint64_t from, std::uint64_t to) { return mayChange(exchange, from, to); };
-    if (const auto change = rollout::forbiddenChange(out.body(), version, may))
-      co_return CallOutcome{End::Fault, Verdict::MayHaveRun, kWeightsChange, change->told};
+asio::awaitable<AttemptOutcome> RunnerCall::passOn() {
+  const auto& head = parser_->get();
+  const auto status = head.result_int();
+  const bool otherVersion = exchange_.expectedVersion && toldVersion_.otherThan(*exchange_.expectedVersion);
+  // It has run, so it is no success and promises nothing.
+  if (otherVersion && status < 300)
+    co_return AttemptOutcome::failed(
+        fmt::format("{} answered with weights {} where {} were expected", target_.instanceId,
+                    std::string(head[kWeightVersions]), *exchange_.expectedVersion),
+        toldVersion_);
+  if (!exchange_.stream || status != 200) co_return co_await passOnComplete();
+  if (!exchange_.started) exchange_.version.reset();
+  if (toldVersion_.version && !toldVersion_.mixed) exchange_.version = toldVersion_.version;
+  if (!exchange_.version) exchange_.version = exchange_.expectedVersion;
+  StreamRelay relay(state_, exchange_, *connection_, *parser_);
+  co_return co_await relay.run();
+}
+
+// A response that is no stream: read completely before a byte of it is passed on, so that the client gets all or
+// nothing.
+asio::awaitable<AttemptOutcome> RunnerCall::passOnComplete() {
+  http::Response out(parser_->get().result(), 11);
+  copyResponseHead(parser_->get(), out);
+  if (auto ended = co_await readBody(out.body())) co_return *std::move(ended);
+  const auto status = static_cast<int>(out.result_int());
+  const auto answeredWith = " answered " + std::to_string(status);
+  // The runner did not say that it has not run.
+  if (promisesNotRun(status)) co_return AttemptOutcome::failed(target_.instanceId + answeredWith);
+  if (exchange_.started) co_return AttemptOutcome::failed("answered " + std::to_string(status));
+  if (exchange_.route.type == control::RouteType::Streaming && status < 300) {
+    auto version = toldVersion_.version;
+    const auto allowed = [&](std::uint64_t from, std::uint64_t to) {
+      return mayChangeVersion(state_, exchange_, from, to);
+    };
+    if (const auto change = rollout::forbiddenChange(out.body(), version, allowed))
+      co_return AttemptOutcome::failed(kWeightsChanged, change->told);
   }
-  exchange.keep = keepAlive(exchange.request);
-  out.keep_alive(exchange.keep);
-  const bool bodiless = exchange.request.method() == wire::verb::head || out.result() == wire::status::no_content ||
+  exchange_.keepAlive = state_.keepAlive(exchange_.request);
+  out.keep_alive(exchange_.keepAlive);
+  const bool bodiless = exchange_.request.method() == wire::verb::head || out.result() == wire::status::no_content ||
                         out.result() == wire::status::not_modified;
   if (!bodiless) out.prepare_payload();
-  // A failure of the runner's own has run. What may run again is tried elsewhere, and this answer kept for the case
+  // A failure of the runner's own has run. What is idempotent is sent elsewhere, and this response kept for the case
   // that nobody does better.
-  if (status >= 500 && exchange.route.repeatable()) {
-    exchange.failure = std::move(out);
-    co_return CallOutcome{End::Fault, Verdict::MayHaveRun, instanceId + " answered " + std::to_string(status)};
+  if (isServerError(status) && exchange_.route.repeatable()) {
+    exchange_.failure = std::move(out);
+    co_return AttemptOutcome::failed(target_.instanceId + answeredWith);
   }
-  exchange.client.expires_after(Millis(10000));
-  auto [error, bytes] = co_await wire::async_write(exchange.client, out, http::kTuple);
-  if (error) co_return CallOutcome{End::ClientGone, Verdict::Ran, error.message()};
-  co_return CallOutcome{End::Answered, Verdict::Ran, {}};
+  exchange_.client.expires_after(kClientWriteTimeout);
+  auto [error, bytes] = co_await wire::async_write(exchange_.client, out, http::kTuple);
+  co_return error ? AttemptOutcome::clientGone() : AttemptOutcome::answered();
+}
+
+asio::awaitable<std::optional<AttemptOutcome>> RunnerCall::readBody(std::string& body) {
+  std::array<char, 16384> part;
+  while (!parser_->is_done()) {
+    parser_->get().body().data = part.data();
+    parser_->get().body().size = part.size();
+    auto [error, bytes] =
+        co_await wire::async_read_some(connection_->stream, connection_->buffer, *parser_, http::kTuple);
+    if (error && error != wire::error::need_buffer)
+      co_return AttemptOutcome::failed("the response breaks off: " + error.message());
+    body.append(part.data(), part.size() - parser_->get().body().size);
+    if (body.size() > kMaxBodyBytes) co_return AttemptOutcome::failed("the response is too large");
+  }
+  co_return std::nullopt;
+}
+
+// Reads a response to its end without keeping it; false if it breaks off.
+asio::awaitable<bool> RunnerCall::skipBody() {
+  std::array<char, 4096> discarded;
+  while (!parser_->is_done()) {
+    parser_->get().body().data = discarded.data();
+    parser_->get().body().size = discarded.size();
+    auto [error, bytes] =
+        co_await wire::async_read_some(connection_->stream, connection_->buffer, *parser_, http::kTuple);
+    if (error && error != wire::error::need_buffer) co_return false;
+  }
+  co_return true;
+}
+
+// A reset on a reused connection before any byte of a response: the runner had dropped it, which is no fault of its
+// health. Whether it has read the request is not known all the same.
+void RunnerCall::recordTransportFailure(const boost::system::error_code& error, bool responded) {
+  if (deadline_->expired()) return;
+  if (connection_->reused && !responded && error != asio::error::operation_aborted)
+    state_.pool.recordReuse(exchange_.service, *connection_, true);
+  else
+    recordFailure();
+}
+
+void RunnerCall::recordOutcome(const AttemptOutcome& outcome) {
+  const auto status = static_cast<int>(parser_->get().result_int());
+  // Its 504 at the deadline says nothing of its health.
+  const bool ownFailure = isServerError(status) && status != 504;
+  if (outcome.end == AttemptOutcome::End::Answered)
+    record(ownFailure ? AttemptResult::Failure : AttemptResult::Success);
+  // A runner of other weights is healthy; it just must not serve this.
+  if (outcome.otherVersion)
+    state_.table.versionMismatched(target_.instanceId, view(exchange_.request[kModel]),
+                                   outcome.otherVersion->mixed ? std::nullopt : outcome.otherVersion->version);
+  else if (outcome.end == AttemptOutcome::End::Failed && base::Clock::now() < exchange_.deadline)
+    recordFailure();
+}
+
+// Back to the pool, if a further response on the connection can be told from this one.
+void RunnerCall::releaseConnection() {
+  const auto& head = parser_->get();
+  const bool reusable = head.keep_alive() && !skippedOther_ && !writeError_;
+  if (!reusable || !parser_->is_done() || deadline_->expired()) return;
+  const auto maxIdle = idleTimeOf(head);
+  deadline_->stop();
+  state_.pool.release(target_.instanceId, std::move(connection_), maxIdle);
 }
 
 }  // namespace indigohill::proxy
--- a/src/proxy/stream_relay.cpp
+++ b/src/proxy/stream_relay.cpp
@@ -1,123 +1,138 @@
-// Streams: events of a runner's answer are passed to the client as they come.
-#include <array>
+#include "proxy/stream_relay.hpp"
+
 #include <boost/asio/write.hpp>
 #include <sstream>
-#include <utility>
 #include <vector>
 
-#include "proxy/exchange.hpp"
-#include "proxy/executor.hpp"
 #include "proxy/headers.hpp"
-#include "rollout/versions.hpp"
 
 namespace indigohill::proxy {
 
 namespace asio = http::asio;
-namespace beast = http::beast;
 namespace wire = http::wire;
 using base::Millis;
-using base::Verdict;
 
 namespace {
 
-constexpr std::size_t kEventMost = 1u << 20;
+constexpr std::size_t kMaxEventBytes = 1u << 20;
+constexpr Millis kWriteGrace{500};  // past the deadline, for a client that reads slowly
+
+template <class Buffers>
+void appendBuffers(std::vector<asio::const_buffer>& out, const Buffers& buffers) {
+  for (auto it = asio::buffer_sequence_begin(buffers); it != asio::buffer_sequence_end(buffers); ++it)
+    out.push_back(*it);
+}
 
 }  // namespace
 
-bool Executor::mayChange(const Exchange& exchange, std::uint64_t from, std::uint64_t to) const {
-  const auto picture = table_.snapshot();
-  const auto found = picture->rollouts.find(exchange.service);
-  return found != picture->rollouts.end() && found->second.allowsWithinStream(view(exchange.request[kModel]), from, to);
+bool mayChangeVersion(const ProxyState& state, const Exchange& exchange, std::uint64_t from, std::uint64_t to) {
+  const auto snapshot = state.table.snapshot();
+  const auto found = snapshot->rollouts.find(exchange.service);
+  return found != snapshot->rollouts.end() &&
+         found->second.allowsWithinStream(view(exchange.request[kModel]), from, to);
 }
 
-// A stream: each event is passed on as it comes, and only whole ones, so that another runner can take it up behind
-// the last. The head goes out with the first event; until then another runner may still answer.
-asio::awaitable<CallOutcome> Executor::relayEvents(Exchange& exchange, Connection& connection,
-                                                   wire::response_parser<wire::buffer_body>& parser) {
-  using End = CallOutcome::End;
-  std::string text;
-  const auto pass = [&](std::string events, bool last) -> asio::awaitable<bool> {
-    text.clear();
-    exchange.admission->begun(base::Clock::now() - exchange.sentAt);
-    if (exchange.firstAt == base::TimePoint{}) exchange.firstAt = base::Clock::now();
-    if (!exchange.started) {
-      wire::response<wire::empty_body> head(parser.get().result(), 11);
-      copyAnswerHead(parser.get(), head);
-      head.keep_alive(keepAlive(exchange.request));
-      head.chunked(true);
-      exchange.keep = head.keep_alive();
-      std::ostringstream lines;
-      lines << head.base();
-      text = std::move(lines).str();
-      exchange.started = true;
-    }
-    // Head, chunk and last chunk leave in one write.
-    std::vector<asio::const_buffer> parts{asio::buffer(text)};
-    const auto chunk = wire::make_chunk(asio::buffer(events));
-    if (!events.empty())
-      for (auto it = asio::buffer_sequence_begin(chunk); it != asio::buffer_sequence_end(chunk); ++it)
-        parts.push_back(*it);
-    const auto end = wire::make_chunk_last();
-    if (last)
-      for (auto it = asio::buffer_sequence_begin(end); it != asio::buffer_sequence_end(end); ++it) parts.push_back(*it);
-    // A client that does not read holds the runner up for as long as its deadline lasts.
-    exchange.client.expires_at(exchange.deadline + Millis(500));
-    auto [error, bytes] = co_await asio::async_write(exchange.client, parts, http::kTuple);
-    co_return !error;
-  };
-  const auto may = [&](std::uint64_t from, std::uint64_t to) {
-    const bool allowed = mayChange(exchange, from, to);
-    exchange.versionChanged = exchange.versionChanged || allowed;
-    return allowed;
-  };
-  std::array<char, 16384> part;
-  const bool goesOn = exchange.started;
-  bool firstEvents = true;
-  // An empty body is whole with its head.
-  if (parser.is_done() && !co_await pass({}, true)) co_return CallOutcome{End::ClientGone, Verdict::Ran, {}};
-  while (!parser.is_done()) {
-    parser.get().body().data = part.data();
-    parser.get().body().size = part.size();
-    auto [error, bytes] = co_await wire::async_read_some(connection.stream, connection.buffer, parser, http::kTuple);
-    const std::size_t got = part.size() - parser.get().body().size;
-    const auto idBefore = exchange.events.lastId();
-    auto whole = exchange.events.take({part.data(), got});
-    // A runner that does not go on behind the last event would repeat what the client has.
-    if (!whole.empty() && std::exchange(firstEvents, false) && goesOn && !goesOnBehind(whole, idBefore)) {
-      exchange.events.passedOnly(idBefore, {});
-      co_return CallOutcome{End::Fault, Verdict::MayHaveRun, "the stream does not go on where it was broken off"};
+asio::awaitable<AttemptOutcome> StreamRelay::run() {
+  // An empty body is complete with its head.
+  if (parser_.is_done()) {
+    const bool passed = co_await pass(std::string(), true);
+    co_return passed ? AttemptOutcome::answered() : AttemptOutcome::clientGone();
+  }
+  while (!parser_.is_done()) {
+    const auto idBefore = exchange_.events.lastId();
+    std::string events;
+    const auto error = co_await read(events);
+    if (!isContinued(events, idBefore)) {
+      exchange_.events.rewind(idBefore, {});
+      co_return AttemptOutcome::failed("the stream does not go on where it was broken off");
     }
-    if (const auto change = rollout::forbiddenChange(whole, exchange.version, may)) {
+    if (const auto change = forbiddenChangeIn(events)) {
       // What came before the change is of one version and is passed on; from there on another runner of that version
-      // may take the stream up, else it ends visibly.
-      whole.resize(change->at);
-      exchange.events.passedOnly(idBefore, whole);
-      if (!whole.empty() && !co_await pass(std::move(whole), false))
-        co_return CallOutcome{End::ClientGone, Verdict::Ran, {}};
-      co_return CallOutcome{End::Fault, Verdict::MayHaveRun, kWeightsChange, change->told};
+      // may resume the stream, else it ends visibly.
+      events.resize(change->at);
+      exchange_.events.rewind(idBefore, events);
+      co_return co_await passThenFail(std::move(events), AttemptOutcome::failed(kWeightsChanged, change->told));
     }
-    if (error && error != wire::error::need_buffer) {
-      if (!whole.empty() && !co_await pass(std::move(whole), false))
-        co_return CallOutcome{End::ClientGone, Verdict::Ran, {}};
-      co_return CallOutcome{End::Fault, Verdict::MayHaveRun, "the stream breaks off: " + error.message()};
-    }
-    if (exchange.events.waiting() > kEventMost)
-      co_return CallOutcome{End::Fault, Verdict::MayHaveRun, "an event is too large"};
-    const bool last = parser.is_done();
+    if (error && error != wire::error::need_buffer)
+      co_return co_await passThenFail(std::move(events),
+                                      AttemptOutcome::failed("the stream breaks off: " + error.message()));
+    if (exchange_.events.rest().size() > kMaxEventBytes) co_return AttemptOutcome::failed("an event is too large");
+    const bool last = parser_.is_done();
     if (last) {
-      // The runner's body is whole: what is left of it is passed on even if no blank line ends it.
-      if (const auto change = rollout::forbiddenChange(exchange.events.rest(), exchange.version, may)) {
-        if (!whole.empty() && !co_await pass(std::move(whole), false))
-          co_return CallOutcome{End::ClientGone, Verdict::Ran, {}};
-        co_return CallOutcome{End::Fault, Verdict::MayHaveRun, kWeightsChange, change->told};
-      }
-      whole += exchange.events.rest();
-      exchange.events.drop();
+      // The runner's body is complete: what is left of it is passed on even if no blank line ends it.
+      if (const auto change = forbiddenChangeIn(exchange_.events.rest()))
+        co_return co_await passThenFail(std::move(events), AttemptOutcome::failed(kWeightsChanged, change->told));
+      events += exchange_.events.rest();
+      exchange_.events.dropRest();
     }
-    if ((last || !whole.empty()) && !co_await pass(std::move(whole), last))
-      co_return CallOutcome{End::ClientGone, Verdict::Ran, {}};
+    if (!last && events.empty()) continue;
+    const bool passed = co_await pass(std::move(events), last);
+    if (!passed) co_return AttemptOutcome::clientGone();
+  }
+  co_return AttemptOutcome::answered();
+}
+
+// Reads some bytes; the complete events among them are in `events` then, also if an error comes with them.
+asio::awaitable<boost::system::error_code> StreamRelay::read(std::string& events) {
+  auto& body = parser_.get().body();
+  body.data = buffer_.data();
+  body.size = buffer_.size();
+  auto [error, bytes] = co_await wire::async_read_some(connection_.stream, connection_.buffer, parser_, http::kTuple);
+  events = exchange_.events.append({buffer_.data(), buffer_.size() - parser_.get().body().size});
+  co_return error;
+}
+
+// A runner that does not resume after the last event would repeat what the client has.
+bool StreamRelay::isContinued(const std::string& events, const std::string& idBefore) {
+  if (events.empty() || !std::exchange(firstEvents_, false)) return true;
+  return !resumes_ || continuesAfter(events, idBefore);
+}
+
+std::optional<rollout::Forbidden> StreamRelay::forbiddenChangeIn(const std::string& events) {
+  return rollout::forbiddenChange(events, exchange_.version, [&](std::uint64_t from, std::uint64_t to) {
+    const bool allowed = mayChangeVersion(state_, exchange_, from, to);
+    exchange_.versionChanged = exchange_.versionChanged || allowed;
+    return allowed;
+  });
+}
+
+// The head of the response to the client, as it is sent before the first event.
+std::string StreamRelay::startHead() {
+  wire::response<wire::empty_body> head(parser_.get().result(), 11);
+  copyResponseHead(parser_.get(), head);
+  exchange_.keepAlive = state_.keepAlive(exchange_.request);
+  head.keep_alive(exchange_.keepAlive);
+  head.chunked(true);
+  exchange_.started = true;
+  std::ostringstream lines;
+  lines << head.base();
+  return std::move(lines).str();
+}
+
+// Sends events to the client, with the head before the first and the last chunk after the last, in one write. False
+// when the client has gone.
+asio::awaitable<bool> StreamRelay::pass(std::string events, bool last) {
+  const auto now = base::Clock::now();
+  exchange_.admission->begun(now - exchange_.sentAt);
+  if (exchange_.firstEventAt == base::TimePoint{}) exchange_.firstEventAt = now;
+  const std::string head = exchange_.started ? std::string() : startHead();
+  std::vector<asio::const_buffer> parts{asio::buffer(head)};
+  const auto chunk = wire::make_chunk(asio::buffer(events));
+  if (!events.empty()) appendBuffers(parts, chunk);
+  const auto end = wire::make_chunk_last();
+  if (last) appendBuffers(parts, end);
+  // A client that does not read holds the runner up for as long as its deadline lasts.
+  exchange_.client.expires_at(exchange_.deadline + kWriteGrace);
+  auto [error, bytes] = co_await asio::async_write(exchange_.client, parts, http::kTuple);
+  co_return !error;
+}
+
+asio::awaitable<AttemptOutcome> StreamRelay::passThenFail(std::string events, AttemptOutcome failure) {
+  if (!events.empty()) {
+    const bool passed = co_await pass(std::move(events), false);
+    if (!passed) co_return AttemptOutcome::clientGone();
   }
-  co_return CallOutcome{End::Answered, Verdict::Ran, {}};
+  co_return failure;
 }
 
 }  // namespace indigohill::proxy
--- a/src/replay/fleet.cpp
+++ b/src/replay/fleet.cpp
@@ -12,7 +12,7 @@
 namespace indigohill::replay {
 
 using base::Millis;
-using base::Verdict;
+using routing::ExecutionStatus;
 
 namespace {
 constexpr Millis kHop{1};
@@ -146,9 +146,9 @@
     std::from_chars(r.tokens.data() + comma + 1, r.tokens.data() + r.tokens.size(), job->outTokens);
   job->workMs = static_cast<std::uint32_t>(std::max<std::int64_t>(1, r.total.count()));
   job->policy = std::make_unique<routing::RoutingPolicy>(*router.table, *job->route, r.id, now_, job->deadline);
-  job->policy->asked().prompt = proxy::parsePrompt(r.prompt);
-  job->policy->asked().promptTokens = promptTokens;
-  job->policy->arrived(now_);
+  job->policy->request().prompt = proxy::parsePrompt(r.prompt);
+  job->policy->request().promptTokens = promptTokens;
+  job->policy->onArrival(now_);
   const auto* inForceRoute = inForce_.route(r.host, r.path);
   outcome.allowed = (inForceRoute != nullptr ? inForceRoute : job->route)->repeatable() ? 0 : clientTry + 1;
   open_.push_back(job);
@@ -251,7 +251,7 @@
   const auto& g = *runner.group;
   Millis first, whole;
   if (g.promptTokensPerMs > 0) {
-    first = readPrompt(runner, job->policy->asked(), outcome);
+    first = readPrompt(runner, job->policy->request(), outcome);
     const double step = g.speed * (g.stepMs + g.stepMsPerSlot * runner.running);
     whole = first + Millis(static_cast<std::int64_t>(step * std::max(1u, job->outTokens)));
     // A stream that is taken up goes on behind what the client has.
@@ -309,8 +309,8 @@
   if (ofRunner && !job->runner.empty())
     routers_[job->router].table->recordResult(job->runner, routing::AttemptResult::Failure, now_);
   const bool notRun = why == AttemptEnd::NoConnection || why == AttemptEnd::Rejected;
-  const base::Error error{notRun ? Verdict::NotRun : Verdict::MayHaveRun, "attempt ended"};
-  if (job->policy->again(error, job->started, job->eventsSent > 0, now_))
+  const routing::AttemptError error{notRun ? ExecutionStatus::NotRun : ExecutionStatus::MayHaveRun, "attempt ended"};
+  if (job->policy->onFailure(error, job->started, job->eventsSent > 0, now_))
     step(job);
   else
     ended(job, job->policy->ending(now_));
--- a/src/replay/recording.cpp
+++ b/src/replay/recording.cpp
@@ -120,9 +120,10 @@
       out.push_back(std::move(r));
     }
   } catch (const Wrong& e) {
-    return base::Error{base::Verdict::NotRun, fmt::format("line {}: {}", number, e.what)};
+    return base::Error{base::ErrorCode::InvalidInput, fmt::format("line {}: {}", number, e.what)};
   }
-  if (out.empty()) return base::Error{base::Verdict::NotRun, "holds no record of a request (is trafficLog=true set?)"};
+  if (out.empty())
+    return base::Error{base::ErrorCode::InvalidInput, "holds no record of a request (is trafficLog=true set?)"};
   std::stable_sort(out.begin(), out.end(), [](const auto& a, const auto& b) { return a.at < b.at; });
   const auto first = out.front().at;
   for (auto& r : out) r.at -= first;
@@ -161,7 +162,7 @@
     }
     return m;
   } catch (const Wrong& e) {
-    return base::Error{base::Verdict::NotRun, e.what};
+    return base::Error{base::ErrorCode::InvalidInput, e.what};
   }
 }
 
--- a/src/rollout/orders.cpp
+++ b/src/rollout/orders.cpp
@@ -55,7 +55,7 @@
 schema::Rollout declared(const std::string& service, std::string_view body, const Standing& standing,
                          const schema::Rollout* (*find)(const Standing&, const std::string&)) {
   auto parsed = parseRecord(body);
-  if (const auto* bad = base::errorIn(parsed)) throw Wrong{bad->what};
+  if (const auto* bad = base::errorIn(parsed)) throw Wrong{bad->message};
   const auto& record = std::get<Record>(parsed);
   checkNumber(record.number, find(standing, record.service), standing);
   checkService(service, record.service, standing);
--- a/src/rollout/record.cpp
+++ b/src/rollout/record.cpp
@@ -166,7 +166,7 @@
     out.evenWithoutRunners = top.flag("evenWithoutRunners");
     return out;
   } catch (const Wrong& e) {
-    return base::Error{base::Verdict::NotRun, e.what};
+    return base::Error{base::ErrorCode::InvalidInput, e.what};
   }
 }
 
@@ -175,7 +175,7 @@
   InForce out{rollout.service, rollout.number, rollout.stage, std::nullopt, {}};
   auto parsed = parseRecord(rollout.document);
   if (const auto* bad = base::errorIn(parsed))
-    out.problem = bad->what;
+    out.problem = bad->message;
   else if (rollout.stage >= std::get<Record>(parsed).stages.size())
     out.problem = "stage: there is none with this number";
   else
--- a/src/router/router_core.cpp
+++ b/src/router/router_core.cpp
@@ -96,7 +96,7 @@
     auto parsed = control::parseConfiguration(state.document);
     if (const auto* bad = base::errorIn(parsed)) {
       effects.log.push_back(
-          LogEvent("configuration_unusable").with("revision", state.revision).with("error", bad->what));
+          LogEvent("configuration_unusable").with("revision", state.revision).with("error", bad->message));
       return;
     }
     configuration = std::make_shared<const control::Configuration>(std::get<0>(std::move(parsed)));
@@ -194,7 +194,7 @@
 
 void RouterCore::leave(RouterEffects& effects) {
   group_.leave(effects.out);
-  effects.log.push_back(LogEvent("shutdown_started"));
+  effects.log.emplace_back("shutdown_started");
 }
 
 bool RouterCore::isListReadDue(base::TimePoint now) {
--- a/src/routing/cached_prompts.cpp
+++ b/src/routing/cached_prompts.cpp
@@ -31,7 +31,7 @@
   try {
     if (!index_) throw std::runtime_error("the index is being built anew");
     auto found = index_->match(model, prompt, kOverlaps);
-    if (const auto* error = base::errorIn(found)) throw std::runtime_error(error->what);
+    if (const auto* error = base::errorIn(found)) throw std::runtime_error(error->message);
     return std::get<0>(std::move(found));
   } catch (const std::exception& error) {
     countFailure(error.what());
@@ -43,7 +43,7 @@
   if (!sharedPool_) return 0;
   try {
     const auto held = sharedPool_->held(model, prompt);
-    if (const auto* error = base::errorIn(held)) throw std::runtime_error(error->what);
+    if (const auto* error = base::errorIn(held)) throw std::runtime_error(error->message);
     return static_cast<double>(std::get<0>(held));
   } catch (const std::exception& error) {
     if (sharedPoolFailures_++ == 0)
--- a/src/routing/request.hpp
+++ b/src/routing/request.hpp
@@ -33,9 +33,9 @@
   kvindex::PromptParts prompt;
   std::uint64_t model = 0;  // the model's name, hashed
   std::uint32_t promptTokens = 0, outTokens = 0;
-  std::uint32_t tries = 0;
+  std::uint32_t attempts = 0;
   Ranking ranking;
-  std::set<std::string> tried;  // runners that had it already
+  std::set<std::string> triedRunners;
   std::string modelName;
   // A stream that goes on: at a runner of the same snapshot alone, or of this version where the snapshot is not known.
   std::optional<rollout::Snapshot> snapshot;
--- a/src/routing/routing_policy.cpp
+++ b/src/routing/routing_policy.cpp
@@ -3,57 +3,57 @@
 namespace indigohill::routing {
 
 namespace {
-constexpr std::uint32_t kUnreachedMost = 3;
+constexpr std::uint32_t kMaxUnreachable = 3;
 }
 
 RoutingPolicy::RoutingPolicy(Table& table, const control::Route& route, std::string_view attemptId,
                              base::TimePoint arrivedAt, base::TimePoint deadline)
     : table_(table), route_(route) {
-  asked_.route = &route_;
-  asked_.service = Table::pick(route_, attemptId);
-  asked_.arrivedAt = arrivedAt;
-  asked_.deadline = deadline;
+  request_.route = &route_;
+  request_.service = Table::pick(route_, attemptId);
+  request_.arrivedAt = arrivedAt;
+  request_.deadline = deadline;
 }
 
 std::variant<PassTo, Wait, Ending> RoutingPolicy::next(base::TimePoint now) {
-  if (now >= asked_.deadline) return ending(now);
-  auto decision = table_.decide(asked_, now);
+  if (now >= request_.deadline) return ending(now);
+  auto decision = table_.decide(request_, now);
   if (auto* reject = std::get_if<Reject>(&decision)) {
-    last_ = reject->why;
+    lastError_ = reject->why;
     if (mayHaveRun_ || started_) return ending(now);
     return Ending{false, reject->status, reject->retryAfterS, reject->why};
   }
   if (auto* wait = std::get_if<Wait>(&decision)) return *wait;
   auto& to = std::get<PassTo>(decision);
-  ++asked_.tries;
-  asked_.tried.insert(to.instanceId);
+  ++request_.attempts;
+  request_.triedRunners.insert(to.instanceId);
   return std::move(to);
 }
 
-bool RoutingPolicy::again(const base::Error& fault, bool started, bool resumable, base::TimePoint now) {
-  last_ = fault.what;
+bool RoutingPolicy::onFailure(const AttemptError& error, bool started, bool resumable, base::TimePoint now) {
+  lastError_ = error.message;
   started_ = started;
-  if (fault.verdict != base::Verdict::NotRun) {
+  if (error.execution != ExecutionStatus::NotRun) {
     mayHaveRun_ = true;
     // What may have run is tried again only if it may run twice.
     if (!route_.repeatable()) return false;
   }
   if (started && !(route_.resumable && resumable)) return false;
   // Nothing is sent after the deadline, so nothing is drawn from the budget either.
-  return now < asked_.deadline && asked_.tries < route_.maxAttempts && table_.admitRetry(asked_.service, now);
+  return now < request_.deadline && request_.attempts < route_.maxAttempts && table_.admitRetry(request_.service, now);
 }
 
-bool RoutingPolicy::unreached(const base::Error& fault, base::TimePoint now) {
-  last_ = fault.what;
-  --asked_.tries;
-  return ++unreached_ < kUnreachedMost && now < asked_.deadline;
+bool RoutingPolicy::onUnreachable(const AttemptError& error, base::TimePoint now) {
+  lastError_ = error.message;
+  --request_.attempts;
+  return ++unreachableRunners_ < kMaxUnreachable && now < request_.deadline;
 }
 
 Ending RoutingPolicy::ending(base::TimePoint now) const {
-  if (started_) return {true, 0, 0, last_};
+  if (started_) return {true, 0, 0, lastError_};
   // Not run, and it never will be: said so, with when to come back. Otherwise nothing is promised.
-  if (!mayHaveRun_) return {false, 503, 0.2, last_};
-  return {false, now >= asked_.deadline ? 504 : 502, 0, last_};
+  if (!mayHaveRun_) return {false, 503, 0.2, lastError_};
+  return {false, now >= request_.deadline ? 504 : 502, 0, lastError_};
 }
 
 }  // namespace indigohill::routing
--- a/src/routing/routing_policy.hpp
+++ b/src/routing/routing_policy.hpp
@@ -1,7 +1,7 @@
 #pragma once
 #include <string>
 
-#include "base/result.hpp"
+#include "routing/attempt_error.hpp"
 #include "routing/table.hpp"
 
 // What is done with one request from its arrival to its end, as far as that is decided and not carried out. The
@@ -21,28 +21,28 @@
   RoutingPolicy(Table& table, const control::Route& route, std::string_view attemptId, base::TimePoint arrivedAt,
                 base::TimePoint deadline);
 
-  RequestProfile& asked() { return asked_; }
+  RequestProfile& request() { return request_; }
   // Counts the request towards the budget of its service.
-  void arrived(base::TimePoint now) { table_.arrived(asked_.service, now); }
+  void onArrival(base::TimePoint now) { table_.arrived(request_.service, now); }
 
   // Pass, wait, or end.
   std::variant<PassTo, Wait, Ending> next(base::TimePoint now);
 
   // A try at a runner has ended without a whole answer: whether another may follow. `started`: the client has bytes of
   // the answer; `resumable`: and a whole event behind which another runner could go on.
-  bool again(const base::Error& fault, bool started, bool resumable, base::TimePoint now);
+  bool onFailure(const AttemptError& error, bool started, bool resumable, base::TimePoint now);
   // No connection to the runner came about: nothing was sent, so this was no try and draws on no budget. Whether
   // another runner may be taken; how often is bounded, as each one costs time.
-  bool unreached(const base::Error& fault, base::TimePoint now);
+  bool onUnreachable(const AttemptError& error, base::TimePoint now);
   Ending ending(base::TimePoint now) const;
 
  private:
   Table& table_;
   const control::Route& route_;
-  RequestProfile asked_;
+  RequestProfile request_;
   bool mayHaveRun_ = false, started_ = false;
-  std::uint32_t unreached_ = 0;
-  std::string last_ = "not tried";
+  std::uint32_t unreachableRunners_ = 0;
+  std::string lastError_ = "not tried";
 };
 
 }  // namespace indigohill::routing
--- a/src/routing/runner_chooser.cpp
+++ b/src/routing/runner_chooser.cpp
@@ -45,7 +45,7 @@
     auto* runner = resolve(ranked);
     if (runner == nullptr || !runners_.usable(*runner, request.service)) continue;
     if (!versionFits(*runner, request, context.now)) continue;
-    if (request.tried.contains(runner->entry.instanceId)) continue;
+    if (request.triedRunners.contains(runner->entry.instanceId)) continue;
     if (runner->load.ownRequests() >= context.connections) continue;
     const auto found = choice(*runner, ranked, request, context);
     (runner->unhealthy(context.now) ? unhealthy : healthy).push_back(found);
--- a/src/runners/list.cpp
+++ b/src/runners/list.cpp
@@ -51,7 +51,7 @@
 base::Result<Page> parsePage(std::string_view body) {
   json::error_code error;
   const auto value = json::parse(json::string_view(body.data(), body.size()), error);
-  const auto wrong = [](const std::string& what) { return base::Error{base::Verdict::NotRun, what}; };
+  const auto wrong = [](const std::string& what) { return base::Error{base::ErrorCode::InvalidInput, what}; };
   if (error) return wrong("list of runners: " + error.message());
   if (!value.is_object()) return wrong("list of runners: an object is wanted");
   const auto* instances = value.as_object().if_contains("instances");
--- a/src/runners/reader.hpp
+++ b/src/runners/reader.hpp
@@ -19,7 +19,7 @@
       if (const auto* bad = base::errorIn(called)) co_return *bad;
       const auto& response = std::get<0>(called);
       if (response.result_int() != 200)
-        co_return base::Error{base::Verdict::NotRun, "the platform answers " + std::to_string(response.result_int())};
+        co_return base::Error{base::ErrorCode::Unavailable, "the platform answers " + std::to_string(response.result_int())};
       auto parsed = parsePage(response.body());
       if (const auto* bad = base::errorIn(parsed)) co_return *bad;
       auto& part = std::get<Page>(parsed);
@@ -28,7 +28,7 @@
       pages_ = page + 1;
       if (token.empty()) co_return all;
     }
-    co_return base::Error{base::Verdict::NotRun, "the list of runners does not end"};
+    co_return base::Error{base::ErrorCode::Unavailable, "the list of runners does not end"};
   }
 
   // How many calls the last reading took.
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -58,7 +58,7 @@
 std::string endpoint(const std::string& in, Endpoint& out) {
   if (in.empty()) return {};
   auto parsed = parseEndpoint(in);
-  if (const auto* bad = base::errorIn(parsed)) return bad->what;
+  if (const auto* bad = base::errorIn(parsed)) return bad->message;
   out = std::get<Endpoint>(parsed);
   return {};
 }
@@ -86,7 +86,7 @@
 }
 
 base::Result<Endpoint> parseEndpoint(const std::string& text) {
-  const auto wrong = base::Error{base::Verdict::NotRun, "an address like 10.0.0.1:8080 is wanted, not '" + text + "'"};
+  const auto wrong = base::Error{base::ErrorCode::InvalidInput, "an address like 10.0.0.1:8080 is wanted, not '" + text + "'"};
   const auto colon = text.find(':');
   if (colon == std::string::npos) return wrong;
   Endpoint out;
@@ -113,7 +113,7 @@
     std::istringstream in(source);
     boost::property_tree::read_ini(in, tree);
   } catch (const boost::property_tree::ini_parser_error& error) {
-    return base::Error{base::Verdict::NotRun, fmt::format("line {}: {}", error.line(), error.message())};
+    return base::Error{base::ErrorCode::InvalidInput, fmt::format("line {}: {}", error.line(), error.message())};
   }
   return tree;
 }
@@ -154,7 +154,7 @@
   if (const auto* bad = base::errorIn(tree)) return *bad;
   Policy out;
   if (auto wrong = readPolicy(std::get<Tree>(tree), out); !wrong.empty())
-    return base::Error{base::Verdict::NotRun, wrong};
+    return base::Error{base::ErrorCode::InvalidInput, wrong};
   return out;
 }
 
@@ -165,17 +165,17 @@
   if (const auto* bad = base::errorIn(tree)) return *bad;
   Settings out;
   if (auto wrong = readSettings(std::get<Tree>(tree), out); !wrong.empty())
-    return base::Error{base::Verdict::NotRun, wrong};
+    return base::Error{base::ErrorCode::InvalidInput, wrong};
   if (auto own = parseEndpoint(out.ipAddress + ":1"); base::errorIn(own))
-    return base::Error{base::Verdict::NotRun, "ipAddress: an IPv4 address is wanted, not '" + out.ipAddress + "'"};
+    return base::Error{base::ErrorCode::InvalidInput, "ipAddress: an IPv4 address is wanted, not '" + out.ipAddress + "'"};
   if (!base::isLogLevel(out.logLevel))
-    return base::Error{base::Verdict::NotRun, "logLevel: debug, info, warn or error is wanted"};
+    return base::Error{base::ErrorCode::InvalidInput, "logLevel: debug, info, warn or error is wanted"};
   return out;
 }
 
 base::Result<Settings> read(const std::string& path) {
   std::ifstream in(path);
-  if (!in) return base::Error{base::Verdict::NotRun, path + ": cannot be read"};
+  if (!in) return base::Error{base::ErrorCode::InvalidInput, path + ": cannot be read"};
   std::ostringstream all;
   all << in.rdbuf();
   return parse(all.str());
--- a/src/sim/world.cpp
+++ b/src/sim/world.cpp
@@ -344,7 +344,7 @@
       onNode(to, life, Input::Message, [this, to, sender, bytes] {
         auto message = net::decode(bytes);
         if (const auto* bad = base::errorIn(message)) {
-          breakRule("a message of the project's own cannot be read: " + bad->what);
+          breakRule("a message of the project's own cannot be read: " + bad->message);
           return;
         }
         if (nodes_[to]->isController) {
--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -26,7 +26,7 @@
     if (store->wasLost()) base::logError(base::LogEvent("store_damaged").with("folder", folder));
     return store;
   } catch (const std::exception& error) {
-    return base::Error{base::Verdict::NotRun, error.what()};
+    return base::Error{base::ErrorCode::SystemError, error.what()};
   }
 }
 
--- a/tests/fleet.hpp
+++ b/tests/fleet.hpp
@@ -238,7 +238,7 @@
       if (!message || !(*message == item.message)) {
         auto encoded = net::encode(item.message);
         auto decoded = net::decode(encoded);
-        if (const auto* bad = base::errorIn(decoded)) throw std::logic_error(nameOf(item.message) + ": " + bad->what);
+        if (const auto* bad = base::errorIn(decoded)) throw std::logic_error(nameOf(item.message) + ": " + bad->message);
         bytes = encoded.size() + 28;
         message = std::make_shared<const schema::Message>(std::get<0>(std::move(decoded)));
       }
--- a/tests/make_fixtures.cpp
+++ b/tests/make_fixtures.cpp
@@ -25,7 +25,7 @@
   constexpr std::uint64_t kMapBytes = 4u << 20;
   auto opened = store::Store::open(folder / "store", kMapBytes);
   if (const auto* bad = base::errorIn(opened)) {
-    std::cerr << bad->what << "\n";
+    std::cerr << bad->message << "\n";
     return 1;
   }
   auto& store = *std::get<0>(opened);
--- a/tests/test_kvindex.cpp
+++ b/tests/test_kvindex.cpp
@@ -341,7 +341,7 @@
 struct BadPool : kvindex::SharedPool {
   base::Result<std::uint64_t> held(std::uint64_t, PromptView) override {
     if (++request % 2 == 0) throw std::runtime_error("pool: connection refused");
-    return base::Error{base::Verdict::NotRun, "pool: no answer"};
+    return base::Error{base::ErrorCode::Unavailable, "pool: no answer"};
   }
   int request = 0;
 };
@@ -443,7 +443,7 @@
   std::vector<std::string> order;
   order.push_back(std::get<routing::PassTo>(first).instanceId);
   for (int further = 0; further < 3; ++further) {
-    request.tried.insert(order.back());
+    request.triedRunners.insert(order.back());
     auto next = c.table.decide(request, c.now + Millis(20));
     order.push_back(std::get<routing::PassTo>(next).instanceId);
     std::get<routing::PassTo>(next).admission.release();
@@ -494,11 +494,11 @@
   for (const auto* name :
        {"policy.overlapWeight", "policy.blockTokens", "policy.candidates", "policy.sharedMultiplier"}) {
     auto bad = settings::parsePolicy(std::string(name) + "=-1\n");
-    cr_assert(base::errorIn(bad) != nullptr && base::errorIn(bad)->what.starts_with(name), "%s", name);
+    cr_assert(base::errorIn(bad) != nullptr && base::errorIn(bad)->message.starts_with(name), "%s", name);
   }
   for (const auto* line : {"policy.blockTokens=0", "policy.candidates=0", "policy.sharedMultiplier=1.5"}) {
     auto bad = settings::parsePolicy(std::string(line) + "\n");
-    cr_assert(base::errorIn(bad) != nullptr && base::errorIn(bad)->what.starts_with(std::string(line).substr(0, 12)),
+    cr_assert(base::errorIn(bad) != nullptr && base::errorIn(bad)->message.starts_with(std::string(line).substr(0, 12)),
               "%s", line);
   }
 }
--- a/tests/test_parts.cpp
+++ b/tests/test_parts.cpp
@@ -13,8 +13,10 @@
 #include "feed/publisher.hpp"
 #include "membership/group.hpp"
 #include "net/codec.hpp"
-#include "proxy/events.hpp"
+#include "proxy/event_splitter.hpp"
 #include "proxy/executor.hpp"
+#include "proxy/headers.hpp"
+#include "proxy/prompt.hpp"
 #include "routing/table.hpp"
 #include "runners/list.hpp"
 #include "settings/settings.hpp"
@@ -55,11 +57,11 @@
 
 std::string faultOf(const base::Result<settings::Settings>& r) {
   const auto* bad = base::errorIn(r);
-  return bad == nullptr ? "" : bad->what;
+  return bad == nullptr ? "" : bad->message;
 }
 std::string faultOf(const base::Result<control::Configuration>& r) {
   const auto* bad = base::errorIn(r);
-  return bad == nullptr ? "" : bad->what;
+  return bad == nullptr ? "" : bad->message;
 }
 }  // namespace
 
@@ -244,13 +246,13 @@
 }
 
 Test(events, only_whole_events_are_passed) {
-  proxy::EventCutter cutter;
-  cr_assert_eq(cutter.take("id: 1\nda"), "");
-  cr_assert_eq(cutter.take("ta: x\n\nid: 2\ndata"), "id: 1\ndata: x\n\n");
-  cr_assert_eq(cutter.lastId(), "1");
-  cr_assert_eq(cutter.rest(), "id: 2\ndata");
-  cr_assert_eq(cutter.take(": y\r\n\r\n"), "id: 2\ndata: y\r\n\r\n");
-  cr_assert_eq(cutter.lastId(), "2");
+  proxy::EventSplitter splitter;
+  cr_assert_eq(splitter.append("id: 1\nda"), "");
+  cr_assert_eq(splitter.append("ta: x\n\nid: 2\ndata"), "id: 1\ndata: x\n\n");
+  cr_assert_eq(splitter.lastId(), "1");
+  cr_assert_eq(splitter.rest(), "id: 2\ndata");
+  cr_assert_eq(splitter.append(": y\r\n\r\n"), "id: 2\ndata: y\r\n\r\n");
+  cr_assert_eq(splitter.lastId(), "2");
 }
 
 Test(pass, heads_for_runners_keep_what_is_end_to_end) {
--- a/tests/test_plan.cpp
+++ b/tests/test_plan.cpp
@@ -176,7 +176,7 @@
   a.changed.clear();
   a.daemons = file("daemons", R"({"daemons":[{"id":"a","role":"cook"}]})");
   cr_assert_eq(cli::runPlan(a), 3);
-  cr_assert_eq(base::errorIn(plan::parseDaemons(R"({"daemons":[{"id":"a","role":"cook"}]})"))->what.substr(0, 15),
+  cr_assert_eq(base::errorIn(plan::parseDaemons(R"({"daemons":[{"id":"a","role":"cook"}]})"))->message.substr(0, 15),
                "daemons[0].role");
   a.daemons.clear();
   a.runners = folder + "none";
@@ -225,7 +225,7 @@
 
 Test(import, what_can_be_carried_over_is_and_the_rest_is_listed) {
   auto read = import::fromEnvoy(kEnvoy, 7);
-  cr_assert(base::errorIn(read) == nullptr, "%s", base::errorIn(read) ? base::errorIn(read)->what.c_str() : "");
+  cr_assert(base::errorIn(read) == nullptr, "%s", base::errorIn(read) ? base::errorIn(read)->message.c_str() : "");
   const auto& in = std::get<0>(read);
   const auto c = std::get<0>(control::parseConfiguration(in.document));
   cr_assert(c.revision == 7 && c.routes.size() == 2 && c.services.size() == 2);
@@ -242,7 +242,7 @@
 Test(import, a_file_that_cannot_be_read_gets_line_and_reason) {
   const auto what = [](const std::string& text) {
     auto r = import::fromEnvoy(text, 1);
-    return base::errorIn(r) == nullptr ? std::string() : base::errorIn(r)->what;
+    return base::errorIn(r) == nullptr ? std::string() : base::errorIn(r)->message;
   };
   cr_assert(what("a: [1,\nb: }").starts_with("line 2:"), "%s", what("a: [1,\nb: }").c_str());
   cr_assert(what("- 1").starts_with("line 1:"));
--- a/tests/test_proxy.cpp
+++ b/tests/test_proxy.cpp
@@ -3,6 +3,7 @@
 // something takes: each exchange ends by its own bytes or by a bound of the configuration.
 #include <spdlog/sinks/ostream_sink.h>
 #include "replay/recording.hpp"
+#include "routing/routing_policy.hpp"
 #include "runners/reader.hpp"
 #include "standins.hpp"
 // Criterion's macros get in the way of Boost's headers, so it comes last.
@@ -154,7 +155,7 @@
   const auto next = policy.next(now);
   const auto* ending = std::get_if<routing::Ending>(&next);
   cr_assert(ending != nullptr && ending->status == 503);
-  cr_assert(!policy.again({base::Verdict::NotRun, "refused"}, false, false, now));
+  cr_assert(!policy.onFailure({routing::ExecutionStatus::NotRun, "refused"}, false, false, now));
   const auto most = drawsLeft(untouched.table);
   cr_assert(most > 0 && most < 1000);
   cr_assert_eq(drawsLeft(front.table), most);
@@ -276,20 +277,20 @@
   proxy::IdleLimit limit;
   auto now = base::Clock::now();
   const auto hour = std::chrono::hours(1);
-  cr_assert(limit.most(true) > hour && limit.most(false) > hour);
+  cr_assert(limit.maxIdle(true) > hour && limit.maxIdle(false) > hour);
   // A runner that crashes resets connections of every age: a few of many say nothing.
-  for (int i = 0; i < 100; ++i) limit.reused(Millis(10 * i), i % 20 == 0, now);
-  cr_assert(limit.most(true) > hour && limit.most(false) > Millis(300));
+  for (int i = 0; i < 100; ++i) limit.recordReuse(Millis(10 * i), i % 20 == 0, now);
+  cr_assert(limit.maxIdle(true) > hour && limit.maxIdle(false) > Millis(300));
   // Forgotten from 600 ms on.
-  for (int i = 0; i < 100; ++i) limit.reused(Millis(10 * i), i >= 60, now);
-  cr_assert(limit.most(true) <= Millis(600) && limit.most(true) >= Millis(300));
-  cr_assert(limit.most(false) <= Millis(300) && limit.most(false) >= Millis(100));
+  for (int i = 0; i < 100; ++i) limit.recordReuse(Millis(10 * i), i >= 60, now);
+  cr_assert(limit.maxIdle(true) <= Millis(600) && limit.maxIdle(true) >= Millis(300));
+  cr_assert(limit.maxIdle(false) <= Millis(300) && limit.maxIdle(false) >= Millis(100));
   // Forgotten at once.
-  for (int i = 0; i < 10; ++i) limit.reused(Millis(1), true, now);
-  cr_assert(limit.most(true) == Millis(0) && limit.most(false) == Millis(0));
+  for (int i = 0; i < 10; ++i) limit.recordReuse(Millis(1), true, now);
+  cr_assert(limit.maxIdle(true) == Millis(0) && limit.maxIdle(false) == Millis(0));
   // Not for ever: runners change.
-  for (int i = 0; i < 8; ++i) limit.reused(Millis(1), false, now += Millis(31000));
-  cr_assert(limit.most(false) > Millis(100));
+  for (int i = 0; i < 8; ++i) limit.recordReuse(Millis(1), false, now += Millis(31000));
+  cr_assert(limit.maxIdle(false) > Millis(100));
 }
 
 Test(proxy, what_may_have_run_is_never_promised_not_to_have) {
@@ -396,7 +397,7 @@
   cr_assert(platform.request(1).target() == "/instances?pageToken=p-1");
   // Over the rate, cut short, or no answer: a fault, and the last list stays with whoever asked.
   for (int i = 1; i < 4; ++i) cr_assert(base::errorIn(results[i]) != nullptr, "%d", i);
-  cr_assert(base::errorIn(results[1])->what.find("429") != std::string::npos);
+  cr_assert(base::errorIn(results[1])->message.find("429") != std::string::npos);
 }
 
 Test(proxy, recorded_requests_are_what_the_replay_reads) {
@@ -410,7 +411,8 @@
     front.exchange(get("/check/1?q=\"x\"", "Indigohill-Prompt-Prefix: a:5,b:6\r\nIndigohill-Token-Usage: 11,3\r\n"));
   }
   auto parsed = replay::parseRecording(lines.str());
-  cr_assert(base::errorIn(parsed) == nullptr, "%s", base::errorIn(parsed) ? base::errorIn(parsed)->what.c_str() : "");
+  cr_assert(base::errorIn(parsed) == nullptr, "%s",
+            base::errorIn(parsed) ? base::errorIn(parsed)->message.c_str() : "");
   const auto& r = std::get<0>(parsed).at(0);
   cr_assert(r.id == "abc" && r.host == "a.example" && r.path == "/check/1?q=\"x\"" && r.status == 200);
   cr_assert(r.prompt == "a:5,b:6" && r.tokens == "11,3");
--- a/tests/test_replay.cpp
+++ b/tests/test_replay.cpp
@@ -21,7 +21,7 @@
 
 std::shared_ptr<const control::Configuration> configuration(const std::string& text) {
   auto parsed = control::parseConfiguration(text);
-  cr_assert(base::errorIn(parsed) == nullptr, "%s", base::errorIn(parsed) ? base::errorIn(parsed)->what.c_str() : "");
+  cr_assert(base::errorIn(parsed) == nullptr, "%s", base::errorIn(parsed) ? base::errorIn(parsed)->message.c_str() : "");
   return std::make_shared<const control::Configuration>(std::get<0>(std::move(parsed)));
 }
 
@@ -54,7 +54,7 @@
 
 replay::Model fleet(const std::string& troubles = "") {
   auto parsed = replay::parseModel(replaced(kFleet, "TROUBLES", troubles.empty() ? "" : ",\"troubles\":" + troubles));
-  cr_assert(base::errorIn(parsed) == nullptr, "%s", base::errorIn(parsed) ? base::errorIn(parsed)->what.c_str() : "");
+  cr_assert(base::errorIn(parsed) == nullptr, "%s", base::errorIn(parsed) ? base::errorIn(parsed)->message.c_str() : "");
   return std::get<0>(std::move(parsed));
 }
 std::vector<replay::Recorded> traffic(const std::string& lines) {
@@ -73,7 +73,7 @@
 Test(replay, records_and_fleets_that_cannot_be_read_are_named) {
   const auto lineOf = [](const std::string& text) {
     auto r = replay::parseRecording(text);
-    return base::errorIn(r) == nullptr ? std::string() : base::errorIn(r)->what;
+    return base::errorIn(r) == nullptr ? std::string() : base::errorIn(r)->message;
   };
   cr_assert_eq(lineOf(mix(4, 10)), "");
   cr_assert(lineOf("").starts_with("holds no record"));
@@ -82,7 +82,7 @@
   cr_assert(lineOf(replaced(record(1, "/a/", 1, 1), "\"atMs\":1", "\"atMs\":\"1\"")).starts_with("line 1: atMs:"));
   const auto fieldOf = [](const std::string& text) {
     auto r = replay::parseModel(text);
-    return base::errorIn(r) == nullptr ? std::string() : base::errorIn(r)->what;
+    return base::errorIn(r) == nullptr ? std::string() : base::errorIn(r)->message;
   };
   cr_assert(fieldOf("{}").starts_with("runners: missing"));
   cr_assert(fieldOf("nonsense").starts_with("not readable"));
@@ -93,7 +93,7 @@
   cr_assert(fieldOf(replaced(kFleet, "TROUBLES", R"(,"troubles":[{"kind":"router_kill","name":"router/9"}])"))
                 .starts_with("troubles[0].name:"));
   cr_assert(
-      base::errorIn(settings::parsePolicy("policy.overlapWeight=many"))->what.starts_with("policy.overlapWeight:"));
+      base::errorIn(settings::parsePolicy("policy.overlapWeight=many"))->message.starts_with("policy.overlapWeight:"));
 }
 
 Test(replay, a_calm_mix_is_served_in_aim_and_the_same_twice) {
--- a/tests/test_rollout.cpp
+++ b/tests/test_rollout.cpp
@@ -66,8 +66,8 @@
   for (const auto& [from, to, wanted] : cases) {
     const auto parsed = rollout::parseRecord(replaced(record(1), from, to));
     cr_assert(base::errorIn(parsed) != nullptr, "%s is taken", to.c_str());
-    cr_assert(base::errorIn(parsed)->what.find(wanted) != std::string::npos, "wanted %s, got %s", wanted.c_str(),
-              base::errorIn(parsed)->what.c_str());
+    cr_assert(base::errorIn(parsed)->message.find(wanted) != std::string::npos, "wanted %s, got %s", wanted.c_str(),
+              base::errorIn(parsed)->message.c_str());
   }
   cr_assert(base::errorIn(rollout::parseRecord("{\"service\":")) != nullptr);
   cr_assert(base::errorIn(rollout::parseRecord("[]")) != nullptr);
--- a/tests/test_rollout_proxy.cpp
+++ b/tests/test_rollout_proxy.cpp
@@ -2,6 +2,7 @@
 #include <fmt/format.h>
 
 #include "documents.hpp"
+#include "proxy/headers.hpp"
 #include "standins.hpp"
 // These bring in Criterion, whose macros get in the way of Boost's headers, so they come last.
 #include <criterion/criterion.h>
--- a/tests/test_rollout_routing.cpp
+++ b/tests/test_rollout_routing.cpp
@@ -100,7 +100,7 @@
 Test(rollout, a_stream_goes_on_at_the_same_snapshot_alone) {
   RoutedRunners r({runner("a"), runner("b", "v2"), runner("c", "v1", 2), runner("d")});
   r.request.snapshot = rollout::snapshotOf(runner("x"));
-  r.request.tried = {"a"};
+  r.request.triedRunners = {"a"};
   auto chosen = r.chosen();
   cr_assert(chosen.size() == 1 && chosen["d"] == 60);
   // Of a version that the list did not tell: the version counts.
