--- a/src/cli/deployment.cpp
+++ b/src/cli/deployment.cpp
@@ -30,13 +30,13 @@
 std::vector<settings::Endpoint> seedAddresses(const settings::Settings& settings) {
   std::vector<settings::Endpoint> out;
   out.reserve(settings.seedNodes.size());
-  for (const auto& seed : settings.seedNodes) out.push_back({seed.ip, settings::cohortPort(settings, true)});
+  for (const auto& seed : settings.seedNodes) out.push_back({seed.ip, settings::peerPort(settings, true)});
   return out;
 }
 
 settings::Endpoint peerAddress(const settings::Settings& settings, bool controller) {
   auto out = std::get<settings::Endpoint>(settings::parseEndpoint(settings.ipAddress + ":1"));
-  out.port = settings::cohortPort(settings, controller);
+  out.port = settings::peerPort(settings, controller);
   return out;
 }
 
--- a/src/cli/router_daemon.cpp
+++ b/src/cli/router_daemon.cpp
@@ -69,7 +69,7 @@
 
   int run() {
     if (watch_.current().trafficLog) executor_.setTrafficLog(base::openRecords());
-    table_.setTell([this](const schema::LoadNotice& notice) {
+    table_.setNoticeSender([this](const schema::LoadNotice& notice) {
       asio::post(control_, [this, notice] {
         net::Outbox out;
         core_.broadcast(notice, out);
@@ -143,8 +143,8 @@
   void apply(router::RouterEffects& effects) {
     const auto now = base::Clock::now();
     for (const auto& event : effects.log) base::logInfo(event);
-    for (const auto& notice : effects.loadNotices) table_.heard(notice, now);
-    for (const auto& report : effects.healthReports) table_.heard(report, now);
+    for (const auto& notice : effects.loadNotices) table_.receive(notice, now);
+    for (const auto& report : effects.healthReports) table_.receive(report, now);
     for (auto& event : effects.events) table_.setSnapshot(journal_.append(std::move(event)), now);
     if (!effects.events.empty()) executor_.wakeQueuedRequests();
     table_.setLease(core_.group().leaseUntil());
--- a/src/control/calls.hpp
+++ b/src/control/calls.hpp
@@ -16,24 +16,24 @@
   std::string argument;
 };
 
-struct Asked {
+struct CallPath {
   std::string_view method, path;
 };
 
-// A matcher takes its part of what is asked and hands the rest to its children; the first child that matches wins.
+// A matcher takes its part of what is call and hands the rest to its children; the first child that matches wins.
 class Matcher {
  public:
-  using Test = std::function<bool(Asked&)>;
-  using Make = std::function<std::optional<Call>(const Asked&)>;
+  using Test = std::function<bool(CallPath&)>;
+  using Make = std::function<std::optional<Call>(const CallPath&)>;
 
   Matcher(Test test, std::vector<Matcher> children) : test_(std::move(test)), children_(std::move(children)) {}
   Matcher(Test test, Make make) : test_(std::move(test)), make_(std::move(make)) {}
 
-  std::optional<Call> match(Asked asked) const {
-    if (!test_(asked)) return std::nullopt;
-    if (make_) return make_(asked);
+  std::optional<Call> match(CallPath call) const {
+    if (!test_(call)) return std::nullopt;
+    if (make_) return make_(call);
     for (const auto& child : children_)
-      if (auto found = child.match(asked)) return found;
+      if (auto found = child.match(call)) return found;
     return std::nullopt;
   }
 
@@ -44,23 +44,23 @@
 };
 
 inline Matcher::Test method(std::string_view name) {
-  return [name](Asked& asked) { return asked.method == name; };
+  return [name](CallPath& call) { return call.method == name; };
 }
 inline Matcher::Test under(std::string_view prefix) {
-  return [prefix](Asked& asked) {
-    if (!asked.path.starts_with(prefix)) return false;
-    asked.path.remove_prefix(prefix.size());
+  return [prefix](CallPath& call) {
+    if (!call.path.starts_with(prefix)) return false;
+    call.path.remove_prefix(prefix.size());
     return true;
   };
 }
 inline Matcher exactly(std::string_view name, Call call) {
-  return Matcher([name](Asked& asked) { return asked.path == name; },
-                 Matcher::Make([call](const Asked&) -> std::optional<Call> { return call; }));
+  return Matcher([name](CallPath& call) { return call.path == name; },
+                 Matcher::Make([call](const CallPath&) -> std::optional<Call> { return call; }));
 }
 inline Matcher named(std::string_view prefix, OrderKind kind) {
-  return Matcher(under(prefix), Matcher::Make([kind](const Asked& asked) -> std::optional<Call> {
-                   if (asked.path.empty() || asked.path.find('/') != std::string_view::npos) return std::nullopt;
-                   return Call{Call::Kind::Order, kind, std::string(asked.path)};
+  return Matcher(under(prefix), Matcher::Make([kind](const CallPath& call) -> std::optional<Call> {
+                   if (call.path.empty() || call.path.find('/') != std::string_view::npos) return std::nullopt;
+                   return Call{Call::Kind::Order, kind, std::string(call.path)};
                  }));
 }
 
--- a/src/hollow/daemon.cpp
+++ b/src/hollow/daemon.cpp
@@ -14,9 +14,9 @@
 
 Daemon::Daemon(const Place& place, const std::vector<Place>& seeds, const Disk& disk, bool first, std::size_t losses,
                std::uint64_t seed, base::TimePoint now, Output& effects) {
-  std::vector<settings::Endpoint> cohorts, controls;
+  std::vector<settings::Endpoint> peerAddresses, controls;
   for (const auto& s : seeds) {
-    cohorts.push_back(s.cohort);
+    peerAddresses.push_back(s.peerAddress);
     controls.push_back(s.control);
   }
   if (place.isController) {
@@ -28,12 +28,13 @@
         first, controls, place.control, seed, effects.writes);
     control::Controller::Options options;
     options.faultTolerance = losses;
-    controller_ = std::make_unique<control::Controller>(control::Controller::Self{place.name, place.zone, place.cohort},
-                                                        std::move(identity), cohorts, options, seed + 1);
+    controller_ =
+        std::make_unique<control::Controller>(control::Controller::Self{place.name, place.zone, place.peerAddress},
+                                              std::move(identity), peerAddresses, options, seed + 1);
   } else {
-    router_ =
-        std::make_unique<router::RouterCore>(router::RouterCore::Self{place.name, place.zone, place.cohort}, cohorts,
-                                             membership::Times{}, feed::Times{}, base::Millis(3000), seed, now);
+    router_ = std::make_unique<router::RouterCore>(router::RouterCore::Self{place.name, place.zone, place.peerAddress},
+                                                   peerAddresses, membership::Times{}, feed::Times{},
+                                                   base::Millis(3000), seed, now);
     journal_ = std::make_unique<base::Journal<routing::Event, routing::RoutingSnapshot>>(routing::fold, kJournalKept);
     table_ = std::make_unique<routing::Table>(place.zone, routing::Bounds{}, seed + 1, now);
   }
@@ -113,7 +114,7 @@
   if (controller_->replica().active(now)) return Role::Primary;
   const auto& record = controller_->replica().record();
   const auto& self = controller_->replica().voterId();
-  if (!record || !base::contains(record->voters, self)) return Role::Relay;
+  if (!record || !base::contains(record->voters, self)) return Role::Observer;
   return base::contains(record->backups, self) ? Role::Backup : Role::Witness;
 }
 
@@ -126,7 +127,7 @@
 }
 
 void Daemon::perform(router::RouterEffects& followed, base::TimePoint now, Output& effects) {
-  for (const auto& notice : followed.loadNotices) table_->heard(notice, now);
+  for (const auto& notice : followed.loadNotices) table_->receive(notice, now);
   for (auto& event : followed.events) table_->setSnapshot(journal_->append(std::move(event)), now);
   table_->setLease(router_->group().leaseUntil());
   std::move(followed.out.begin(), followed.out.end(), std::back_inserter(effects.out));
--- a/src/hollow/daemon.hpp
+++ b/src/hollow/daemon.hpp
@@ -20,8 +20,8 @@
   X(Primary, "primary")            \
   X(Backup, "backup")              \
   X(Witness, "witness")            \
-  X(Relay, "relay")                \
-  X(Lister, "lister")
+  X(Observer, "relay")             \
+  X(DiscoveryLeader, "lister")
 
 enum class Role {
 #define INDIGOHILL_ROLE(name, text) name,
@@ -49,7 +49,7 @@
 
 struct Place {
   std::string name, zone;
-  settings::Endpoint cohort, control;
+  settings::Endpoint peerAddress, control;
   bool isController = false;
 };
 
@@ -83,7 +83,7 @@
 
   Role role(base::TimePoint now) const;
   bool isDiscoveryLeader() const { return group().isDiscoveryLeader(); }
-  bool holdsOffice(base::TimePoint now) const { return controller_ && controller_->replica().active(now); }
+  bool isActivePrimary(base::TimePoint now) const { return controller_ && controller_->replica().active(now); }
   const membership::Group& group() const { return controller_ ? controller_->group() : router_->group(); }
   std::uint64_t revision() const;
   schema::StateVersion runnersVersion() const { return source().runnerList().version(); }
--- a/src/hollow/fleet.cpp
+++ b/src/hollow/fleet.cpp
@@ -89,9 +89,9 @@
     place.isController = i < shape.controllers;
     place.name = fmt::format("node-{}", i);
     place.zone = fmt::format("zone-{}", zoneOf(i));
-    place.cohort = {kFirstIp + static_cast<std::uint32_t>(i),
-                    static_cast<std::uint16_t>(place.isController ? 7001 : 7000)};
-    place.control = {place.cohort.ip, 8000};
+    place.peerAddress = {kFirstIp + static_cast<std::uint32_t>(i),
+                         static_cast<std::uint16_t>(place.isController ? 7001 : 7000)};
+    place.control = {place.peerAddress.ip, 8000};
     if (place.isController && seeds_.size() < kSeeds) seeds_.push_back(place);
   }
   setBack();  // the accounts may have been those of a fleet before
@@ -142,19 +142,19 @@
   }
 }
 
-std::size_t Fleet::indexOf(const settings::Endpoint& cohort) const { return cohort.ip - kFirstIp; }
+std::size_t Fleet::indexOf(const settings::Endpoint& peerAddress) const { return peerAddress.ip - kFirstIp; }
 
 void Fleet::start(std::size_t i) {
   auto& n = nodes_[i];
-  ++n.life;
+  ++n.incarnation;
   Output effects;
   {
     const HeapScope scope(account(i));
-    n.daemon = std::make_unique<Daemon>(n.place, seeds_, n.disk, first_ && n.life == 1, shape_.faultTolerance,
+    n.daemon = std::make_unique<Daemon>(n.place, seeds_, n.disk, first_ && n.incarnation == 1, shape_.faultTolerance,
                                         random_(), now_, effects);
   }
   for (auto& write : effects.writes) n.disk[write.slot] = write.bytes;
-  at(now_ + Millis(random_() % 200), [this, i, life = n.life] { tickLoop(i, life); });
+  at(now_ + Millis(random_() % 200), [this, i, incarnation = n.incarnation] { tickLoop(i, incarnation); });
 }
 
 void Fleet::kill(std::size_t i) {
@@ -164,18 +164,18 @@
   n.channels.clear();
 }
 
-void Fleet::tickLoop(std::size_t i, std::uint64_t life) {
+void Fleet::tickLoop(std::size_t i, std::uint64_t incarnation) {
   auto& n = nodes_[i];
-  if (!n.daemon || n.life != life) return;
+  if (!n.daemon || n.incarnation != incarnation) return;
   step(i, [this](Daemon& d, Output& effects) { d.tick(now_, effects); });
   if (n.daemon->isListReadDue(now_)) {
     ++n.totals.platformReads;
-    at(now_ + kPlatformAnswer, [this, i, life, askedAt = now_] {
-      if (nodes_[i].daemon && nodes_[i].life == life)
+    at(now_ + kPlatformAnswer, [this, i, incarnation, askedAt = now_] {
+      if (nodes_[i].daemon && nodes_[i].incarnation == incarnation)
         step(i, [&](Daemon& d, Output& effects) { d.onListRead(platform_, askedAt, now_, effects); });
     });
   }
-  at(now_ + Daemon::tickPeriod(n.place.isController), [this, i, life] { tickLoop(i, life); });
+  at(now_ + Daemon::tickPeriod(n.place.isController), [this, i, incarnation] { tickLoop(i, incarnation); });
 }
 
 // One call into a core: its memory and processor time are put down to the daemon, what comes out is carried out.
@@ -193,7 +193,7 @@
   }
   for (auto& write : effects.writes) {
     n.unsynced.push_back(std::move(write));
-    at(now_ + kDiskSync + Millis(random_() % 4), [this, i, life = n.life] { sync(i, life); });
+    at(now_ + kDiskSync + Millis(random_() % 4), [this, i, incarnation = n.incarnation] { sync(i, incarnation); });
   }
   for (const auto& answer : effects.answers)
     if (answer.status == 200) inForce_ = std::max(inForce_, wanted_);
@@ -225,7 +225,7 @@
     auto& channel = nodes_[from].channels[to];
     channel.waiting.push_back(std::move(parcel));
     if (channel.waiting.size() > kChannelBacklog) channel.waiting.pop_front();
-    if (!channel.busy) overChannel(from, to, nodes_[from].life);
+    if (!channel.busy) overChannel(from, to, nodes_[from].incarnation);
   }
 }
 
@@ -263,9 +263,9 @@
 
 // The next message that waits. One that is not there within the limit is lost, and all that waits behind it
 // (net::Link).
-void Fleet::overChannel(std::size_t from, std::size_t to, std::uint64_t life) {
+void Fleet::overChannel(std::size_t from, std::size_t to, std::uint64_t incarnation) {
   auto& n = nodes_[from];
-  if (!n.daemon || n.life != life) return;
+  if (!n.daemon || n.incarnation != incarnation) return;
   auto& channel = n.channels[to];
   channel.busy = !channel.waiting.empty();
   if (!channel.busy) return;
@@ -276,16 +276,16 @@
   auto when = arrival(from, to, parcel.bytes->size());
   if (loses(parcel.bytes->size())) when += kRetransmit;
   if (!reaches(from, to) || !alive(to) || when - now_ > kCallLimit) {
-    at(now_ + kCallLimit, [this, from, to, life] {
-      if (!nodes_[from].daemon || nodes_[from].life != life) return;
+    at(now_ + kCallLimit, [this, from, to, incarnation] {
+      if (!nodes_[from].daemon || nodes_[from].incarnation != incarnation) return;
       nodes_[from].channels[to].waiting.clear();
-      overChannel(from, to, life);
+      overChannel(from, to, incarnation);
     });
     return;
   }
-  at(when, [this, from, to, life, parcel = std::move(parcel)] {
+  at(when, [this, from, to, incarnation, parcel = std::move(parcel)] {
     arrived(to, from, parcel);
-    overChannel(from, to, life);
+    overChannel(from, to, incarnation);
   });
 }
 
@@ -296,13 +296,13 @@
   n.totals.receivedBytes[parcel.kind] += parcel.bytes->size();
   step(to, [&](Daemon& d, Output& effects) {
     auto message = net::decode(*parcel.bytes);
-    if (!base::errorIn(message)) d.receive(std::get<0>(message), nodes_[from].place.cohort, now_, effects);
+    if (!base::errorIn(message)) d.receive(std::get<0>(message), nodes_[from].place.peerAddress, now_, effects);
   });
 }
 
-void Fleet::sync(std::size_t i, std::uint64_t life) {
+void Fleet::sync(std::size_t i, std::uint64_t incarnation) {
   auto& n = nodes_[i];
-  if (!n.daemon || n.life != life || n.unsynced.empty()) return;
+  if (!n.daemon || n.incarnation != incarnation || n.unsynced.empty()) return;
   const auto write = std::move(n.unsynced.front());
   n.unsynced.erase(n.unsynced.begin());
   n.disk[write.slot] = write.bytes;
@@ -335,17 +335,17 @@
 
 void Fleet::drainRunner(std::size_t runner, bool is) { platform_[runner % platform_.size()].draining = is; }
 
-void Fleet::tell(std::size_t i, const schema::LoadNotice& demand) {
-  step(i, [&](Daemon& d, Output& effects) { d.broadcast(demand, effects); });
+void Fleet::announceLoad(std::size_t i, const schema::LoadNotice& notice) {
+  step(i, [&](Daemon& d, Output& effects) { d.broadcast(notice, effects); });
 }
 
 std::optional<std::size_t> Fleet::primary() const {
   for (std::size_t i = 0; i < shape_.controllers; ++i)
-    if (alive(i) && daemon(i).holdsOffice(now_)) return i;
+    if (alive(i) && daemon(i).isActivePrimary(now_)) return i;
   return std::nullopt;
 }
 
-std::optional<std::size_t> Fleet::lister() const {
+std::optional<std::size_t> Fleet::discoveryLeader() const {
   for (std::size_t i = 0; i < shape_.controllers; ++i)
     if (alive(i) && daemon(i).isDiscoveryLeader()) return i;
   return std::nullopt;
--- a/src/hollow/fleet.hpp
+++ b/src/hollow/fleet.hpp
@@ -67,10 +67,10 @@
   void partRegions(bool is) { parted_ = is; }
   void change(std::uint64_t revision);  // one route of the configuration, at the primary; again until it is taken
   void drainRunner(std::size_t runner, bool is);
-  void tell(std::size_t i, const schema::LoadNotice& demand);
+  void announceLoad(std::size_t i, const schema::LoadNotice& notice);
 
   std::optional<std::size_t> primary() const;
-  std::optional<std::size_t> lister() const;
+  std::optional<std::size_t> discoveryLeader() const;
   bool viewEverywhere() const;  // every running daemon holds the same view, of exactly the running daemons
   bool inForceEverywhere(std::uint64_t revision) const;
   bool listEverywhere(const schema::StateVersion& least) const;
@@ -89,7 +89,7 @@
   struct Node {
     Place place;
     std::unique_ptr<Daemon> daemon;
-    std::uint64_t life = 0;
+    std::uint64_t incarnation = 0;
     Daemon::Disk disk;
     std::vector<control::DiskWrite> unsynced;
     base::TimePoint linkFreeAt{};
@@ -107,16 +107,16 @@
   void pack(net::Outbox& out, std::vector<Parcel>& parcels) const;
   void dispatch(std::size_t from, std::vector<Parcel>& parcels);
   void datagram(std::size_t from, std::size_t to, Parcel parcel);
-  void overChannel(std::size_t from, std::size_t to, std::uint64_t life);
+  void overChannel(std::size_t from, std::size_t to, std::uint64_t incarnation);
   base::TimePoint arrival(std::size_t from, std::size_t to, std::size_t size);
   bool loses(std::size_t size);
   bool reaches(std::size_t from, std::size_t to) const {
     return to < nodes_.size() && !(parted_ && regionOf(to) != regionOf(from));
   }
   void arrived(std::size_t to, std::size_t from, const Parcel& parcel);
-  void sync(std::size_t i, std::uint64_t life);
-  void tickLoop(std::size_t i, std::uint64_t life);
-  std::size_t indexOf(const settings::Endpoint& cohort) const;
+  void sync(std::size_t i, std::uint64_t incarnation);
+  void tickLoop(std::size_t i, std::uint64_t incarnation);
+  std::size_t indexOf(const settings::Endpoint& peerAddress) const;
 
   Shape shape_;
   std::mt19937_64 random_;
--- a/src/hollow/measure.cpp
+++ b/src/hollow/measure.cpp
@@ -128,7 +128,7 @@
         }
       };
       add(fleet_.daemon(i).role(fleet_.now()));
-      if (fleet_.daemon(i).isDiscoveryLeader()) add(Role::Lister);
+      if (fleet_.daemon(i).isDiscoveryLeader()) add(Role::DiscoveryLeader);
     }
     for (std::size_t r = 0; r < kRoles; ++r) {
       const auto& s = sums[r];
@@ -173,13 +173,13 @@
   void lists() {
     std::size_t next = 0;
     repeated("list", "listEverywhere", [this, &next]() -> double {
-      const auto lister = fleet_.lister();
-      if (!lister) return kNever;
-      const auto before = fleet_.daemon(*lister).runnersVersion();
+      const auto leader = fleet_.discoveryLeader();
+      if (!leader) return kNever;
+      const auto before = fleet_.daemon(*leader).runnersVersion();
       fleet_.drainRunner(next / 2, next % 2 == 0);
       ++next;
       return until([&] {
-        const auto version = fleet_.daemon(*lister).runnersVersion();
+        const auto version = fleet_.daemon(*leader).runnersVersion();
         return before < version && fleet_.listEverywhere(version);
       });
     });
@@ -187,7 +187,7 @@
 
   void tells() {
     repeated("tell", "sent", [this] {
-      fleet_.tell(fleet_.size() - 1, {"model-0/instance-0", 1 + fleet_.size(), 8000});
+      fleet_.announceLoad(fleet_.size() - 1, {"model-0/instance-0", 1 + fleet_.size(), 8000});
       return 0.0;
     });
   }
--- a/src/model/ledger.cpp
+++ b/src/model/history.cpp
@@ -1,4 +1,4 @@
-#include "model/ledger.hpp"
+#include "model/history.hpp"
 
 #include <fmt/format.h>
 
@@ -33,15 +33,15 @@
 
 }  // namespace
 
-Ledger::Ledger(const std::vector<OrderKind>& kinds, std::size_t copies) : copies_(copies) {
+History::History(const std::vector<OrderKind>& kinds, std::size_t copies) : copies_(copies) {
   for (const auto kind : kinds) addOrder(kind);
 }
 
-void Ledger::fail(std::string what) {
+void History::fail(std::string what) {
   if (!violation_) violation_ = std::move(what);
 }
 
-bool Ledger::effectIn(std::uint8_t order, const schema::ControlState& state) const {
+bool History::effectIn(std::uint8_t order, const schema::ControlState& state) const {
   const bool evacuated = base::contains(state.evacuated, kZone);
   switch (orders_[order].kind) {
     case OrderKind::Update:
@@ -54,7 +54,7 @@
   std::abort();
 }
 
-control::Order Ledger::issue(std::uint8_t order, std::uint8_t machine) {
+control::Order History::issue(std::uint8_t order, std::uint8_t machine) {
   auto& entry = orders_[order];
   if (!entry.issued) {
     entry.issued = true;
@@ -75,7 +75,7 @@
   return out;
 }
 
-control::Order Ledger::read(std::uint8_t machine) {
+control::Order History::read(std::uint8_t machine) {
   calls_.push_back({nextCall_++, true, 0, machine, false, inForce_.revision});
   control::Order out;
   out.call = calls_.back().id;
@@ -83,7 +83,7 @@
   return out;
 }
 
-void Ledger::answered(const control::Answer& answer) {
+void History::answered(const control::Answer& answer) {
   const auto found =
       std::find_if(calls_.begin(), calls_.end(), [&](const auto& call) { return call.id == answer.call; });
   if (found == calls_.end()) return fail(fmt::format("call {} is answered twice", answer.call));
@@ -101,7 +101,7 @@
   }
 }
 
-void Ledger::acknowledged(std::uint8_t order, const Call& call) {
+void History::acknowledged(std::uint8_t order, const Call& call) {
   auto& entry = orders_[order];
   entry.acknowledged = true;
   if (!call.satisfied) fail(fmt::format("order {} is acknowledged and was not in force since it was sent", order));
@@ -115,7 +115,7 @@
       fail(fmt::format("orders {} and {} on base version {} are both acknowledged", other, order, entry.baseVersion));
 }
 
-void Ledger::refusedWith(std::uint8_t order, int status) {
+void History::refusedWith(std::uint8_t order, int status) {
   auto& entry = orders_[order];
   entry.refused = true;
   if (entry.acknowledged || entry.inForce) fail(fmt::format("order {} is in force and answered {}", order, status));
@@ -123,17 +123,17 @@
     fail(fmt::format("order {} is answered 412 although its base version {} is in force", order, entry.baseVersion));
 }
 
-void Ledger::machineGone(std::uint8_t machine) {
+void History::machineGone(std::uint8_t machine) {
   std::erase_if(calls_, [&](const auto& call) { return call.machine == machine; });
 }
 
-void Ledger::adopted(const schema::EpochRecord& record) {
+void History::adopted(const schema::EpochRecord& record) {
   const auto [found, isNew] = records_.emplace(record.epoch, record);
   if (!isNew && !(found->second == record)) fail(fmt::format("two records of epoch {}", record.epoch));
   if (record.epoch > newest_.epoch) newest_ = record;
 }
 
-void Ledger::published(const schema::ControlState& state) {
+void History::published(const schema::ControlState& state) {
   if (!(state.version > inForce_.version)) {
     // A primary that has been superseded may still finish a write whose copies were made before that. Its successor
     // holds one of them, so nothing may be in it that is not in the newer state.
@@ -157,21 +157,21 @@
     if (!call.read) call.satisfied |= effectIn(call.order, state);
 }
 
-void Ledger::onDisk(std::uint64_t identityBit, const schema::ControlState& state) {
+void History::onDisk(std::uint64_t identityBit, const schema::ControlState& state) {
   for (std::uint8_t order = 0; order < orders_.size(); ++order)
     if (orders_[order].kind == OrderKind::Update && effectIn(order, state)) orders_[order].holders |= identityBit;
 }
 
-bool Ledger::waitsFor(std::uint8_t order) const {
+bool History::waitsFor(std::uint8_t order) const {
   return std::any_of(calls_.begin(), calls_.end(), [&](const auto& call) { return !call.read && call.order == order; });
 }
 
-bool Ledger::waitsAt(std::uint8_t order, std::uint8_t machine) const {
+bool History::waitsAt(std::uint8_t order, std::uint8_t machine) const {
   return std::any_of(calls_.begin(), calls_.end(),
                      [&](const auto& call) { return !call.read && call.order == order && call.machine == machine; });
 }
 
-void Ledger::fingerprint(base::Fingerprint& out) const {
+void History::fingerprint(base::Fingerprint& out) const {
   out.add(orders_.size());
   for (const auto& entry : orders_)
     out.add(entry.kind, entry.issued, entry.acknowledged, entry.refused, entry.inForce, entry.baseVersion,
--- a/src/model/ledger.hpp
+++ b/src/model/history.hpp
@@ -13,7 +13,7 @@
 
 enum class OrderKind : std::uint8_t { Update, Evacuate, EndEvacuation };
 
-class Ledger {
+class History {
  public:
   struct OrderEntry {
     OrderKind kind = OrderKind::Update;
@@ -30,7 +30,7 @@
     std::uint64_t revisionWhenIssued = 0;  // that was in force
   };
 
-  explicit Ledger(const std::vector<OrderKind>& kinds = {}, std::size_t copies = 0);
+  explicit History(const std::vector<OrderKind>& kinds = {}, std::size_t copies = 0);
 
   // The operator's side. `issue` gives the order to be sent.
   control::Order issue(std::uint8_t order, std::uint8_t machine);
--- a/src/model/replicas.cpp
+++ b/src/model/replicas.cpp
@@ -96,7 +96,7 @@
   auto orders = settings_.orders;
   orders.insert(orders.begin(), OrderKind::Update);  // the configuration that everything starts from
   State state;
-  state.ledger = Ledger(orders, settings_.faultTolerance + 1);
+  state.history = History(orders, settings_.faultTolerance + 1);
   std::vector<std::string> names;
   for (std::uint8_t i = 0; i < settings_.machines; ++i) names.push_back(nameOf(i));
   for (std::uint8_t i = 0; i < settings_.machines; ++i) {
@@ -110,9 +110,9 @@
   // Explored is what follows once a primary is in office and the first order is acknowledged.
   const auto wanted = settings_.orders.size();
   settings_.orders.clear();
-  for (std::size_t step = 0; !state.ledger.orders()[0].acknowledged && step < kStartSteps; ++step)
+  for (std::size_t step = 0; !state.history.orders()[0].acknowledged && step < kStartSteps; ++step)
     if (const auto action = usual(state)) state = apply(state, *action);
-  if (!state.ledger.orders()[0].acknowledged) std::abort();
+  if (!state.history.orders()[0].acknowledged) std::abort();
   settings_.orders.resize(wanted);
   initial_ = std::move(state);
 }
@@ -151,7 +151,7 @@
     member.bootId = member.incarnation = 1U + i + 16U * machine.wipes + 256U * machine.restarts;
     view.controllers.push_back(member);
   }
-  view.voters = state.ledger.newestRecord().voters;
+  view.voters = state.history.newestRecord().voters;
   return view;
 }
 
@@ -162,7 +162,7 @@
 }
 
 std::optional<ReplicaModel::Action> ReplicaModel::operatorsAction(const State& state) const {
-  const auto& orders = state.ledger.orders();
+  const auto& orders = state.history.orders();
   std::optional<std::uint8_t> active;
   for (std::uint8_t i = 0; i < state.machines.size(); ++i)
     if (state.machines[i]->reachable() && state.machines[i]->active() && !active) active = i;
@@ -170,7 +170,7 @@
   for (std::uint8_t order = 0; order < orders.size(); ++order) {
     const auto& entry = orders[order];
     if (entry.acknowledged || entry.refused) continue;
-    if (state.ledger.waitsFor(order)) return std::nullopt;
+    if (state.history.waitsFor(order)) return std::nullopt;
     if (order > 0 && order > settings_.orders.size()) return std::nullopt;
     return Action{.kind = Kind::Order, .machine = *active, .order = order};
   }
@@ -221,7 +221,7 @@
 
 // A disk may be lost while no more than f identities of the newest record are gone and no repair is under way.
 bool ReplicaModel::wipeAllowed(const State& state) const {
-  const auto& record = state.ledger.newestRecord();
+  const auto& record = state.history.newestRecord();
   std::size_t gone = 0;
   const auto here = [&](const std::string& voterId) {
     return std::any_of(state.machines.begin(), state.machines.end(),
@@ -233,7 +233,7 @@
   if (total < settings_.faultTolerance) return true;  // never more than f in all: nothing to be repaired first
   if (gone > 0) return false;
   // Repaired: everybody knows the newest record and its primary has shown a state of that epoch.
-  return state.ledger.inForce().version.epoch == record.epoch &&
+  return state.history.inForce().version.epoch == record.epoch &&
          std::all_of(state.machines.begin(), state.machines.end(), [&](const auto& machine) {
            return machine->replica && machine->replica->record() && *machine->replica->record() == record;
          });
@@ -256,14 +256,14 @@
 }
 
 void ReplicaModel::operatorDeviations(const State& state, std::vector<Action>& out) const {
-  const auto& orders = state.ledger.orders();
+  const auto& orders = state.history.orders();
   const auto& quotas = settings_.quotas;
   for (std::uint8_t i = 0; i < state.machines.size(); ++i) {
     if (!state.machines[i]->runs()) continue;
     if (left(state.used.reads, quotas.reads)) out.push_back({.kind = Kind::Read, .machine = i});
     bool first = true;
     for (std::uint8_t order = 0; order < orders.size(); ++order) {
-      if (state.ledger.waitsAt(order, i)) continue;
+      if (state.history.waitsAt(order, i)) continue;
       if (!orders[order].issued && !first) continue;  // the operator's orders keep their sequence
       if (!orders[order].issued) first = false;
       const bool allowed = orders[order].issued ? left(state.used.resends, quotas.resends)
@@ -361,8 +361,8 @@
     case Kind::Unhang:
       return machine.hung;
     case Kind::Order:
-      return machine.runs() && action.order < state.ledger.orders().size() &&
-             !state.ledger.waitsAt(action.order, action.machine);
+      return machine.runs() && action.order < state.history.orders().size() &&
+             !state.history.waitsAt(action.order, action.machine);
     case Kind::Transfer:
       return machine.runs() && machine.active();
     case Kind::Tick:
@@ -392,7 +392,7 @@
 void ReplicaModel::order(State& state, std::uint8_t index, Machine& machine, const Action& action,
                          control::Effects& effects) const {
   const bool reading = action.kind == Kind::Read;
-  auto order = reading ? state.ledger.read(index) : state.ledger.issue(action.order, index);
+  auto order = reading ? state.history.read(index) : state.history.issue(action.order, index);
   const auto& published = machine.replica->published();
   if (machine.active() && published) {
     if (settings_.mutation == Mutation::ReadsUnconfirmed && reading) {
@@ -427,7 +427,7 @@
     machine.replica.reset();
     machine.pending.clear();
     machine.frozen = machine.hung = false;
-    state.ledger.machineGone(index);
+    state.history.machineGone(index);
   };
   const auto restart = [&] {
     ++machine.restarts;
@@ -440,7 +440,7 @@
     if (write.slot != control::Slot::State) return;
     auto decoded = net::decodeControlState(write.bytes);
     if (const auto* held = std::get_if<schema::ControlState>(&decoded))
-      state.ledger.onDisk(identityBit(index, machine.wipes), *held);
+      state.history.onDisk(identityBit(index, machine.wipes), *held);
   };
   const auto take = [&](std::vector<InFlight>& among) {
     const auto at = findMessage(among, action);
@@ -545,7 +545,7 @@
       machine.hung = false;
       break;
     case Kind::Order:
-      if (action.cost > 0) ++(before.ledger.orders()[action.order].issued ? used.resends : used.strayOrders);
+      if (action.cost > 0) ++(before.history.orders()[action.order].issued ? used.resends : used.strayOrders);
       order(state, index, machine, action, effects);
       break;
     case Kind::Read:
@@ -561,7 +561,7 @@
   return state;
 }
 
-// What a step had for consequences: messages and writes are under way, and the ledger hears of records and answers.
+// What a step had for consequences: messages and writes are under way, and the history hears of records and answers.
 void ReplicaModel::settle(State& state, std::uint8_t index, Machine machine, control::Effects effects) const {
   const auto& before = *state.machines[index];
   for (auto& write : effects.writes) machine.pending.push_back(std::move(write));
@@ -576,13 +576,13 @@
   if (machine.replica) {
     const auto& replica = *machine.replica;
     if (replica.record() && !(before.replica && before.replica->record() == replica.record()))
-      state.ledger.adopted(*replica.record());
+      state.history.adopted(*replica.record());
     const bool publishes = machine.active() && replica.published();
     const bool sameAsBefore = publishes && before.active() && before.replica->published() &&
                               before.replica->published()->version == replica.published()->version;
-    if (publishes && !sameAsBefore) state.ledger.published(*replica.published());
+    if (publishes && !sameAsBefore) state.history.published(*replica.published());
   }
-  for (const auto& answer : effects.answers) state.ledger.answered(answer);
+  for (const auto& answer : effects.answers) state.history.answered(answer);
   base::Fingerprint fingerprint;
   fingerprint.add(machine.voterId, machine.disk, machine.pending.size());
   for (const auto& write : machine.pending) fingerprint.add(write.token, write.slot, write.bytes);
@@ -610,7 +610,7 @@
     out.add(state.turn);
   }
   unordered(state.held);
-  state.ledger.fingerprint(out);
+  state.history.fingerprint(out);
   const auto& u = state.used;
   out.add(u.crashes, u.wipes, u.holds, u.repeats, u.cuts, u.freezes, u.hangs, u.diskErrors, u.leaseLosses, u.transfers,
           u.resends, u.strayOrders, u.reads, u.longTicks, u.reorders);
@@ -629,12 +629,12 @@
     mend(Kind::Unhang);
     mend(Kind::Restart);
   }
-  const auto fresh = static_cast<std::uint8_t>(state.ledger.orders().size());
-  state.ledger.addOrder(OrderKind::Update);
+  const auto fresh = static_cast<std::uint8_t>(state.history.orders().size());
+  state.history.addOrder(OrderKind::Update);
   auto fair = *this;
   fair.settings_.orders.resize(fresh);
   for (std::size_t passed = 0; passed < ticks;) {
-    if (state.ledger.orders()[fresh].acknowledged) return std::nullopt;
+    if (state.history.orders()[fresh].acknowledged) return std::nullopt;
     const auto action = fair.usual(state);
     if (!action) break;
     passed += action->kind == Kind::Tick;
--- a/src/model/replicas.hpp
+++ b/src/model/replicas.hpp
@@ -8,7 +8,7 @@
 
 #include "base/time.hpp"
 #include "control/replica.hpp"
-#include "model/ledger.hpp"
+#include "model/history.hpp"
 
 // A model of the control state for the explorer: some machines that each run a real `control::Replica`, with a disk, a
 // network, an operator and whatever may go wrong between them. The group's view is a stand-in: a machine's view may
@@ -106,7 +106,7 @@
   struct State {
     std::vector<std::shared_ptr<const Machine>> machines;
     std::vector<InFlight> network, held;
-    Ledger ledger;
+    History history;
     Quotas used;
     std::uint8_t turn = 0;  // whose tick comes next
   };
@@ -118,7 +118,7 @@
   bool possible(const State& state, const Action& action) const;
   State apply(const State& state, const Action& action) const;
   std::uint64_t fingerprint(const State& state) const;
-  std::optional<std::string> violation(const State& state) const { return state.ledger.violation(); }
+  std::optional<std::string> violation(const State& state) const { return state.history.violation(); }
   std::string text(const State& state, const Action& action) const;
 
   // Whether, once nothing goes wrong any more, a new order is acknowledged within so many ticks of
--- a/src/model/views.cpp
+++ b/src/model/views.cpp
@@ -73,7 +73,7 @@
   // Whoever has started anew asks to join, so its former incarnation has failed.
   auto failed = suspected;
   for (std::uint8_t i = 0; i < settings_.machines; ++i)
-    if (view.lives[i] != state.machines[i].life) failed |= bit(i);
+    if (view.lives[i] != state.machines[i].incarnation) failed |= bit(i);
   const auto older = static_cast<MachineSet>(view.members & (bit(machine) - 1));
   if ((older & ~failed) != 0) return std::nullopt;
   Proposal result;
@@ -96,7 +96,7 @@
   }
   MachineSet gone = suspected & result.members;
   for (std::uint8_t i = 0; i < settings_.machines; ++i)
-    if (in(result.members, i) && result.lives[i] != state.machines[i].life) gone |= bit(i);
+    if (in(result.members, i) && result.lives[i] != state.machines[i].incarnation) gone |= bit(i);
   result.faults |= gone;
   result.members &= static_cast<MachineSet>(~gone);
   const bool ownRound = self.pending != kNone && state.proposals[self.pending].proposer == machine;
@@ -106,7 +106,7 @@
   for (std::uint8_t i = 0; i < settings_.machines; ++i)
     if (!state.machines[i].lost && state.machines[i].view == kNone && !in(suspected, i)) {
       result.members |= bit(i);
-      result.lives[i] = state.machines[i].life;
+      result.lives[i] = state.machines[i].incarnation;
     }
   if (result.members == before.members && result.lives == before.lives && result.epoch == before.epoch)
     return std::nullopt;
@@ -125,7 +125,7 @@
 // Whether the proposal has the machine as it is now among its members.
 bool ViewModel::names(const State& state, std::uint8_t index, std::uint8_t machine) const {
   const auto& proposal = state.proposals[index];
-  return in(proposal.members, machine) && proposal.lives[machine] == state.machines[machine].life;
+  return in(proposal.members, machine) && proposal.lives[machine] == state.machines[machine].incarnation;
 }
 
 bool ViewModel::mayAcknowledge(const State& state, std::uint8_t machine, std::uint8_t index) const {
@@ -182,7 +182,7 @@
     // One without a view does not wait for ever for the commit of what it has acknowledged.
     case Kind::GiveUp:
       return self.view == kNone && self.pending != kNone;
-    case Kind::ToldDead: {
+    case Kind::Expelled: {
       // By a member that has acknowledged an extension without this one.
       if (self.view == kNone) return false;
       const auto shutsOut = [&](const Machine& other) {
@@ -207,7 +207,7 @@
   };
   for (std::uint8_t i = 0; i < settings_.machines; ++i) {
     if (state.machines[i].lost) continue;
-    for (const auto kind : {Kind::Accept, Kind::Decide, Kind::Learn, Kind::ToldDead, Kind::GiveUp, Kind::Lose})
+    for (const auto kind : {Kind::Accept, Kind::Decide, Kind::Learn, Kind::Expelled, Kind::GiveUp, Kind::Lose})
       offer({kind, i});
     for (std::uint8_t p = 1; p < state.proposalCount; ++p)
       for (const auto kind : {Kind::Acknowledge, Kind::Commit, Kind::Install, Kind::Leave}) offer({kind, i, p});
@@ -248,9 +248,9 @@
       if (self.pending != kNone && state.proposals[self.pending].number <= proposal.number) self.pending = kNone;
       break;
     case Kind::Leave:
-    case Kind::ToldDead:
+    case Kind::Expelled:
       self.view = self.pending = kNone;
-      ++self.life;
+      ++self.incarnation;
       break;
     case Kind::GiveUp:
       self.pending = kNone;
@@ -299,7 +299,7 @@
   base::Fingerprint out;
   for (std::uint8_t i = 0; i < settings_.machines; ++i) {
     const auto& machine = state.machines[i];
-    out.add(machine.view, machine.pending, machine.lost, machine.accepted, machine.knows, machine.life);
+    out.add(machine.view, machine.pending, machine.lost, machine.accepted, machine.knows, machine.incarnation);
   }
   for (std::uint8_t p = 0; p < state.proposalCount; ++p) {
     const auto& proposal = state.proposals[p];
@@ -333,7 +333,7 @@
       return fmt::format("{} installs #{}", name, action.proposal);
     case Kind::Leave:
       return fmt::format("{} is left out by #{} and gives its view up", name, action.proposal);
-    case Kind::ToldDead:
+    case Kind::Expelled:
       return fmt::format("{} is told dead and gives its view up", name);
     case Kind::GiveUp:
       return fmt::format("{} waits no longer for the view that it has acknowledged", name);
--- a/src/model/views.hpp
+++ b/src/model/views.hpp
@@ -42,7 +42,7 @@
     Commit,
     Install,
     Leave,
-    ToldDead,
+    Expelled,
     GiveUp,
     Lose
   };
@@ -64,11 +64,11 @@
     std::uint8_t number = 0, epoch = 0, base = kNone, proposer = 0;
     MachineSet members = 0, faults = 0, acknowledged = 0;
     bool committed = false;
-    std::array<std::uint8_t, kMachines> lives{};  // which life of each member is meant: its incarnation
+    std::array<std::uint8_t, kMachines> lives{};  // which incarnation of each member is meant: its incarnation
   };
   struct Machine {
     std::uint8_t view = 0, pending = kNone;  // proposals
-    std::uint8_t life = 0;                   // one more each time that it gives its view up to join as somebody new
+    std::uint8_t incarnation = 0;            // one more each time that it gives its view up to join as somebody new
     bool lost = false, accepted = false, knows = false;
   };
   struct State {
--- a/src/proxy/exchange.hpp
+++ b/src/proxy/exchange.hpp
@@ -48,7 +48,7 @@
   };
   End end = End::Failed;
   routing::AttemptError error;
-  std::optional<rollout::Told> otherVersion{};  // what the runner told instead of the expected version
+  std::optional<rollout::ReportedVersion> otherVersion{};  // what the runner told instead of the expected version
 
   static AttemptOutcome answered() { return {End::Answered, {routing::ExecutionStatus::Ran, {}}}; }
   static AttemptOutcome clientGone() { return {End::ClientGone, {routing::ExecutionStatus::Ran, {}}}; }
@@ -58,7 +58,7 @@
   static AttemptOutcome unreachable(std::string message) {
     return {End::Unreachable, {routing::ExecutionStatus::NotRun, std::move(message)}};
   }
-  static AttemptOutcome failed(std::string message, std::optional<rollout::Told> otherVersion = {}) {
+  static AttemptOutcome failed(std::string message, std::optional<rollout::ReportedVersion> otherVersion = {}) {
     return {End::Failed, {routing::ExecutionStatus::MayHaveRun, std::move(message)}, otherVersion};
   }
 };
--- a/src/proxy/runner_call.cpp
+++ b/src/proxy/runner_call.cpp
@@ -123,10 +123,11 @@
   if (const auto load = view(head[kLoad]); !load.empty()) reportLoad(state_.table, target_.instanceId, load);
   // Parts of prompts that were kept are of the weights they were computed with.
   const auto weights = view(head[kWeightVersions]);
-  toldVersion_ = rollout::parseVersions(weights);
+  reportedVersion_ = rollout::parseVersions(weights);
   if (!weights.empty())
-    state_.table.setRevision(target_.instanceId, base::hash(view(exchange_.request[kModel])),
-                             toldVersion_.version && !toldVersion_.mixed ? *toldVersion_.version : base::hash(weights));
+    state_.table.setRevision(
+        target_.instanceId, base::hash(view(exchange_.request[kModel])),
+        reportedVersion_.version && !reportedVersion_.mixed ? *reportedVersion_.version : base::hash(weights));
   if (!isRejection() && !isServerError(static_cast<int>(head.result_int())) && !watchdog_->isLate())
     state_.table.recordInTime(target_.instanceId, base::Clock::now());
 }
@@ -169,16 +170,16 @@
 asio::awaitable<AttemptOutcome> RunnerCall::passOn() {
   const auto& head = parser_->get();
   const auto status = head.result_int();
-  const bool otherVersion = exchange_.expectedVersion && toldVersion_.otherThan(*exchange_.expectedVersion);
+  const bool otherVersion = exchange_.expectedVersion && reportedVersion_.differsFrom(*exchange_.expectedVersion);
   // It has run, so it is no success and promises nothing.
   if (otherVersion && status < 300)
     co_return AttemptOutcome::failed(
         fmt::format("{} answered with weights {} where {} were expected", target_.instanceId,
                     std::string(head[kWeightVersions]), *exchange_.expectedVersion),
-        toldVersion_);
+        reportedVersion_);
   if (!exchange_.stream || status != 200) co_return co_await passOnComplete();
   if (!exchange_.started) exchange_.version.reset();
-  if (toldVersion_.version && !toldVersion_.mixed) exchange_.version = toldVersion_.version;
+  if (reportedVersion_.version && !reportedVersion_.mixed) exchange_.version = reportedVersion_.version;
   if (!exchange_.version) exchange_.version = exchange_.expectedVersion;
   StreamRelay relay(state_, exchange_, *connection_, *parser_);
   co_return co_await relay.run();
@@ -196,12 +197,12 @@
   if (promisesNotRun(status)) co_return AttemptOutcome::failed(target_.instanceId + answeredWith);
   if (exchange_.started) co_return AttemptOutcome::failed("answered " + std::to_string(status));
   if (exchange_.route.type == control::RouteType::Streaming && status < 300) {
-    auto version = toldVersion_.version;
+    auto version = reportedVersion_.version;
     const auto allowed = [&](std::uint64_t from, std::uint64_t to) {
       return mayChangeVersion(state_, exchange_, from, to);
     };
     if (const auto change = rollout::forbiddenChange(out.body(), version, allowed))
-      co_return AttemptOutcome::failed(kWeightsChanged, change->told);
+      co_return AttemptOutcome::failed(kWeightsChanged, change->reported);
   }
   exchange_.keepAlive = state_.keepAlive(exchange_.request);
   out.keep_alive(exchange_.keepAlive);
--- a/src/proxy/runner_call.hpp
+++ b/src/proxy/runner_call.hpp
@@ -50,8 +50,8 @@
   std::optional<FirstByteWatchdog> watchdog_;
   std::unique_ptr<Parser> parser_;
   boost::system::error_code writeError_;
-  bool skippedOther_ = false;  // the response to another request stood before this one's
-  rollout::Told toldVersion_;  // of the weights, by the head
+  bool skippedOther_ = false;                 // the response to another request stood before this one's
+  rollout::ReportedVersion reportedVersion_;  // of the weights, by the head
 };
 
 }  // namespace indigohill::proxy
--- a/src/proxy/stream_relay.cpp
+++ b/src/proxy/stream_relay.cpp
@@ -51,7 +51,7 @@
       // may resume the stream, else it ends visibly.
       events.resize(change->at);
       exchange_.events.rewind(idBefore, events);
-      co_return co_await passThenFail(std::move(events), AttemptOutcome::failed(kWeightsChanged, change->told));
+      co_return co_await passThenFail(std::move(events), AttemptOutcome::failed(kWeightsChanged, change->reported));
     }
     if (error && error != wire::error::need_buffer)
       co_return co_await passThenFail(std::move(events),
@@ -61,7 +61,7 @@
     if (last) {
       // The runner's body is complete: what is left of it is passed on even if no blank line ends it.
       if (const auto change = forbiddenChangeIn(exchange_.events.rest()))
-        co_return co_await passThenFail(std::move(events), AttemptOutcome::failed(kWeightsChanged, change->told));
+        co_return co_await passThenFail(std::move(events), AttemptOutcome::failed(kWeightsChanged, change->reported));
       events += exchange_.events.rest();
       exchange_.events.dropRest();
     }
@@ -113,7 +113,7 @@
 // when the client has gone.
 asio::awaitable<bool> StreamRelay::pass(std::string events, bool last) {
   const auto now = base::Clock::now();
-  exchange_.admission->begun(now - exchange_.sentAt);
+  exchange_.admission->onFirstToken(now - exchange_.sentAt);
   if (exchange_.firstEventAt == base::TimePoint{}) exchange_.firstEventAt = now;
   const std::string head = exchange_.started ? std::string() : startHead();
   std::vector<asio::const_buffer> parts{asio::buffer(head)};
--- a/src/replay/fleet.cpp
+++ b/src/replay/fleet.cpp
@@ -68,10 +68,10 @@
     routing::fold(*router.snapshot, routing::StateReceived{{1, 1}, configuration_, {}});
     routing::fold(*router.snapshot, routing::ViewReceived{view, i + 1});
     router.table->setSnapshot(std::make_shared<const routing::RoutingSnapshot>(*router.snapshot), past);
-    router.table->setTell([this, i](const schema::LoadNotice& notice) {
+    router.table->setNoticeSender([this, i](const schema::LoadNotice& notice) {
       after(kHop, [this, i, notice] {
         for (std::uint32_t other = 0; other < routers_.size(); ++other)
-          if (other != i && routers_[other].up) routers_[other].table->heard(notice, now_);
+          if (other != i && routers_[other].up) routers_[other].table->receive(notice, now_);
       });
     });
     routers_.push_back(std::move(router));
@@ -264,7 +264,7 @@
     if (job->done || job->sending != sending || runner.life != life) return;
     routers_[job->router].table->reportLoad(runner.instanceId, runner.running,
                                             static_cast<std::uint32_t>(runner.queue.size()), runner.group->slots, now_);
-    if (job->admission) job->admission->begun(now_ - job->sentAt);
+    if (job->admission) job->admission->onFirstToken(now_ - job->sentAt);
     if (job->route->type != control::RouteType::Streaming) return;
     if (!job->started) {
       outcomes_[job->index].took = std::chrono::duration_cast<Millis>(now_ - sentAt(job->index));
@@ -326,8 +326,8 @@
   after(pause, [this, index = job->index, t = job->clientTry] { begin(index, t + 1); });
 }
 
-void Fleet::trouble(const Trouble& t) {
-  if (t.kind == Trouble::Kind::RouterKill) {
+void Fleet::trouble(const Fault& t) {
+  if (t.kind == Fault::Kind::RouterKill) {
     const auto number = static_cast<std::size_t>(std::stoul(t.name.substr(t.name.find('/') + 1)));
     auto& router = routers_[number];
     router.up = false;
@@ -340,7 +340,7 @@
   for (auto& owned : runners_) {
     auto& runner = *owned;
     if (runner.name != t.name) continue;
-    if (t.kind == Trouble::Kind::RunnerDrain) {
+    if (t.kind == Fault::Kind::RunnerDrain) {
       runner.entry.draining = true;
       after(model_.listLag, [this] { show(); });
       continue;
--- a/src/replay/fleet.hpp
+++ b/src/replay/fleet.hpp
@@ -84,7 +84,7 @@
   void ended(std::shared_ptr<Job> job, const routing::Ending& ending);
   void leaveSlot(Runner& runner);
   base::Millis readPrompt(Runner& runner, const routing::RequestProfile& asked, Outcome& outcome);
-  void trouble(const Trouble& t);
+  void trouble(const Fault& t);
 
   Model model_;
   std::shared_ptr<const control::Configuration> configuration_;
--- a/src/replay/recording.cpp
+++ b/src/replay/recording.cpp
@@ -74,18 +74,18 @@
   return g;
 }
 
-Trouble readTrouble(const json::object& o, const std::string& where) {
-  Trouble t;
+Fault readFault(const json::object& o, const std::string& where) {
+  Fault t;
   t.at = millisOr(o, where, "atMs", 0);
   t.lasts = millisOr(o, where, "forMs", 0);
   t.name = textOr(o, where, "name", nullptr);
   const auto kind = textOr(o, where, "kind", nullptr);
   if (kind == "runner_crash")
-    t.kind = Trouble::Kind::RunnerCrash;
+    t.kind = Fault::Kind::RunnerCrash;
   else if (kind == "runner_drain")
-    t.kind = Trouble::Kind::RunnerDrain;
+    t.kind = Fault::Kind::RunnerDrain;
   else if (kind == "router_kill")
-    t.kind = Trouble::Kind::RouterKill;
+    t.kind = Fault::Kind::RouterKill;
   else
     throw Wrong{where + "kind: runner_crash, runner_drain or router_kill is wanted"};
   return t;
@@ -152,7 +152,7 @@
     const auto& troubles = listOr(o, "troubles");
     for (std::size_t i = 0; i < troubles.size(); ++i) {
       const auto where = fmt::format("troubles[{}].", i);
-      m.troubles.push_back(readTrouble(objectAt(troubles[i], where), where));
+      m.troubles.push_back(readFault(objectAt(troubles[i], where), where));
       const auto& name = m.troubles.back().name;
       bool known = false;
       for (const auto& g : m.groups)
--- a/src/replay/recording.hpp
+++ b/src/replay/recording.hpp
@@ -30,7 +30,7 @@
 };
 
 // Something that happens to the fleet while the traffic is replayed.
-struct Trouble {
+struct Fault {
   base::Millis at{0}, lasts{0};
   enum class Kind { RunnerCrash, RunnerDrain, RouterKill } kind = Kind::RunnerCrash;
   std::string name;  // of the runner (service/zone/number) or the router (router/number)
@@ -38,7 +38,7 @@
 
 struct Model {
   std::vector<Group> groups;
-  std::vector<Trouble> troubles;
+  std::vector<Fault> troubles;
   std::vector<std::string> zones;  // one router each, in this order, unless `routers` says more
   std::uint32_t routers = 0;
   std::uint32_t clientTries = 1;  // further tries that a client makes by itself
--- a/src/replay/report.cpp
+++ b/src/replay/report.cpp
@@ -26,18 +26,22 @@
     ++(o.late ? c.late : c.inAim);
   if (o.doubled()) ++c.doubled;
   if (o.runs > 1) c.furtherRuns += o.runs - 1;
-  c.tokensAgain += o.again;
+  c.tokensReadAgain += o.again;
 }
 
 std::string row(const char* policy, const Counts& c) {
   return fmt::format("  {:<8} {:>9} {:>9} {:>9} {:>9} {:>9} {:>13} {:>13}\n", policy, c.requests, c.inAim, c.late,
-                     c.missing, c.doubled, c.furtherRuns, c.tokensAgain);
+                     c.missing, c.doubled, c.furtherRuns, c.tokensReadAgain);
 }
 
 json::object object(const Counts& c) {
-  return {{"requests", c.requests},      {"inAim", c.inAim},     {"late", c.late},
-          {"missing", c.missing},        {"doubled", c.doubled}, {"furtherRuns", c.furtherRuns},
-          {"tokensAgain", c.tokensAgain}};
+  return {{"requests", c.requests},
+          {"inAim", c.inAim},
+          {"late", c.late},
+          {"missing", c.missing},
+          {"doubled", c.doubled},
+          {"furtherRuns", c.furtherRuns},
+          {"tokensReadAgain", c.tokensReadAgain}};
 }
 
 json::array list(const std::vector<Change>& changes) {
--- a/src/replay/report.hpp
+++ b/src/replay/report.hpp
@@ -9,7 +9,7 @@
 
 struct Counts {
   std::size_t requests = 0, inAim = 0, late = 0, missing = 0, doubled = 0, furtherRuns = 0;
-  std::uint64_t tokensAgain = 0;  // of shared parts that some runner had read before
+  std::uint64_t tokensReadAgain = 0;  // of shared parts that some runner had read before
   bool operator==(const Counts&) const = default;
 };
 
--- a/src/rollout/versions.cpp
+++ b/src/rollout/versions.cpp
@@ -21,8 +21,8 @@
 }
 }  // namespace
 
-Told parseVersions(std::string_view value) {
-  Told out;
+ReportedVersion parseVersions(std::string_view value) {
+  ReportedVersion out;
   while (!value.empty()) {
     const auto comma = value.find(',');
     const auto part = trimmed(value.substr(0, comma));
@@ -41,11 +41,12 @@
   for (auto at = events.find(kLine); at != std::string_view::npos; at = events.find(kLine, at + 1)) {
     if (!opensEvent(events, at)) continue;
     auto rest = events.substr(at + kLine.size());
-    const auto told = parseVersions(trimmed(rest.substr(0, rest.find('\n'))));
-    if (told.mixed) return Forbidden{at, told};
-    if (!told.version) continue;
-    if (version && *told.version != *version && !allowed(*version, *told.version)) return Forbidden{at, told};
-    version = told.version;
+    const auto reported = parseVersions(trimmed(rest.substr(0, rest.find('\n'))));
+    if (reported.mixed) return Forbidden{at, reported};
+    if (!reported.version) continue;
+    if (version && *reported.version != *version && !allowed(*version, *reported.version))
+      return Forbidden{at, reported};
+    version = reported.version;
   }
   return std::nullopt;
 }
--- a/src/rollout/versions.hpp
+++ b/src/rollout/versions.hpp
@@ -11,19 +11,19 @@
 
 // The one version that a value tells. None when it is empty or cannot be read; so nothing is rejected because a runner
 // tells nothing. Several different numbers are a mixture, which equals no version.
-struct Told {
+struct ReportedVersion {
   std::optional<std::uint64_t> version;
   bool mixed = false;
-  bool otherThan(std::uint64_t expected) const { return mixed || (version && *version != expected); }
+  bool differsFrom(std::uint64_t expected) const { return mixed || (version && *version != expected); }
 };
-Told parseVersions(std::string_view value);
+ReportedVersion parseVersions(std::string_view value);
 
 // The first event at which the version changes to one that `allowed` turns down: where it begins in `events` (whole
 // events, one after the other), and what it tells. `version` follows the changes before it; while it is unknown, the
-// first one told is taken.
+// first one reported is taken.
 struct Forbidden {
   std::size_t at = 0;
-  Told told;
+  ReportedVersion reported;
 };
 std::optional<Forbidden> forbiddenChange(std::string_view events, std::optional<std::uint64_t>& version,
                                          const std::function<bool(std::uint64_t from, std::uint64_t to)>& allowed);
--- a/src/routing/admission.hpp
+++ b/src/routing/admission.hpp
@@ -40,7 +40,7 @@
 
   void release();
   // The first token is there after this long: the prompt has been read, holds nobody up any more, and is kept there.
-  void begun(base::Clock::duration after);
+  void onFirstToken(base::Clock::duration after);
 
  private:
   Table* table_ = nullptr;
--- a/src/routing/health.cpp
+++ b/src/routing/health.cpp
@@ -24,7 +24,7 @@
   return out;
 }
 
-void Evidence::told(const RouterId& reporter, base::TimePoint now) {
+void Evidence::addReport(const RouterId& reporter, base::TimePoint now) {
   if (reporters_.size() < kReportersMost || reporters_.contains(reporter.incarnation))
     reporters_[reporter.incarnation] = {reporter.zone, now};
 }
--- a/src/routing/health.hpp
+++ b/src/routing/health.hpp
@@ -38,7 +38,7 @@
 // What an assessor has heard of one runner: who had trouble there, and when last.
 class Evidence {
  public:
-  void told(const RouterId& reporter, base::TimePoint now);
+  void addReport(const RouterId& reporter, base::TimePoint now);
   // For whom enough routers agree. For all: `needed` of them, two of which are outside the zone that most are of (one
   // is enough on probation). Else for the routers of that zone alone, when enough of it agree: a cut between two zones
   // is no evidence for the others, nor is one router's own bad path, and a runner may be unhealthy toward one zone
--- a/src/routing/popularity.hpp
+++ b/src/routing/popularity.hpp
@@ -13,29 +13,29 @@
  public:
   // Tokens a second that had come for the key before these.
   double add(std::uint64_t key, double tokens, base::TimePoint now) {
-    if (seen_.size() >= kMost) sweep(now);
-    auto& s = seen_[key];
+    if (entries_.size() >= kMaxEntries) sweep(now);
+    auto& s = entries_[key];
     const double before = s.tokens * left(s, now);
     s = {before + tokens, now};
-    return before / base::seconds(kFade);
+    return before / base::seconds(kFadeTime);
   }
 
  private:
-  struct Seen {
+  struct Entry {
     double tokens = 0;
     base::TimePoint at{};
   };
-  static constexpr base::Millis kFade{4000};
-  static constexpr std::size_t kMost = 4096;
-  static double left(const Seen& s, base::TimePoint now) {
-    return std::exp(-base::seconds(now - s.at) / base::seconds(kFade));
+  static constexpr base::Millis kFadeTime{4000};
+  static constexpr std::size_t kMaxEntries = 4096;
+  static double left(const Entry& s, base::TimePoint now) {
+    return std::exp(-base::seconds(now - s.at) / base::seconds(kFadeTime));
   }
   // All that has nearly faded goes; if that is not enough, everything does.
   void sweep(base::TimePoint now) {
-    erase_if(seen_, [&](const auto& item) { return left(item.second, now) < 0.1; });
-    if (seen_.size() > kMost / 2) seen_.clear();
+    erase_if(entries_, [&](const auto& item) { return left(item.second, now) < 0.1; });
+    if (entries_.size() > kMaxEntries / 2) entries_.clear();
   }
-  boost::unordered_flat_map<std::uint64_t, Seen> seen_;
+  boost::unordered_flat_map<std::uint64_t, Entry> entries_;
 };
 
 }  // namespace indigohill::routing
--- a/src/routing/runner_chooser.cpp
+++ b/src/routing/runner_chooser.cpp
@@ -63,10 +63,10 @@
   if (context.engine && ranked.uncachedTokens != 0) {
     // Admission control: the prompts that are read there first, and what of the time to the first token comes too late
     // for the aim, in blocks. A late answer is worth little however little it costs the runner.
-    const auto aimMs = static_cast<double>(request.route->targetLatency.count());
+    const auto latencyTargetMs = static_cast<double>(request.route->targetLatency.count());
     const double speed = context.prefillSpeed.tokensPerMs();
     const double ahead = runner.load.unreadTokens(context.now) + ranked.uncachedTokens;
-    const double over = speed == 0 ? 0 : std::max(0.0, ahead - speed * policy.aimShare * aimMs);
+    const double over = speed == 0 ? 0 : std::max(0.0, ahead - speed * policy.aimShare * latencyTargetMs);
     choice.cost += (ahead + policy.lateWeight * over) / policy.blockTokens;
     return choice;
   }
--- a/src/routing/runner_set.cpp
+++ b/src/routing/runner_set.cpp
@@ -31,12 +31,12 @@
   runner.version.listed(entry, snapshot_->rolloutOf(entry.service), before.rolloutOf(entry.service));
   // The list was read before it came here and lags by itself; what is left is counted from now, on the safe side.
   if (snapshot_->runnersVersion != before.runnersVersion && entry.warmupLeftMs > 0)
-    runner.coldUntil = std::max(runner.coldUntil, now + base::Millis(entry.warmupLeftMs));
+    runner.warmupUntil = std::max(runner.warmupUntil, now + base::Millis(entry.warmupLeftMs));
   // Taken back from an evacuation, runners may have turned cold.
   const bool takenBack = before.evacuated.contains(entry.zone) && !snapshot_->evacuated.contains(entry.zone);
   if (!takenBack) return;
   if (const auto* service = snapshot_->service(entry.service))
-    runner.coldUntil = std::max(runner.coldUntil, now + service->warmup);
+    runner.warmupUntil = std::max(runner.warmupUntil, now + service->warmup);
 }
 
 void RunnerSet::collectCandidates() {
--- a/src/routing/runner_set.hpp
+++ b/src/routing/runner_set.hpp
@@ -22,12 +22,12 @@
   std::uint64_t idHash = 0;
   bool listed = true;
   RunnerLoad load;
-  base::TimePoint coldUntil{};  // end of slow start
+  base::TimePoint warmupUntil{};  // end of slow start
   TokenBucket slowStart;
   Ejection ejection;
   Suspension suspension;
-  Evidence evidence;                    // gathered here when this router is its assessor
-  base::TimePoint troubleReportedAt{};  // when trouble met here was last told to the assessors
+  Evidence evidence;                  // gathered here when this router is its assessor
+  base::TimePoint faultReportedAt{};  // when trouble met here was last told to the assessors
   VersionGate version;
 
   // Whether it gets nothing for reasons of health.
--- a/src/routing/shared_health.cpp
+++ b/src/routing/shared_health.cpp
@@ -7,8 +7,8 @@
 namespace indigohill::routing {
 
 namespace {
-constexpr base::Millis kReportAgain{1000};  // trouble at one runner is reported no more often than this
-constexpr std::size_t kSuspendedPart = 4;   // at most one in so many runners is left out
+constexpr base::Millis kReportInterval{1000};  // trouble at one runner is reported no more often than this
+constexpr std::size_t kSuspendedPart = 4;      // at most one in so many runners is left out
 
 const RouterId* routerIn(const Routers& routers, std::uint64_t incarnation) {
   const auto found =
@@ -17,16 +17,16 @@
 }
 }  // namespace
 
-void SharedHealth::recordTrouble(Runner& runner, base::TimePoint now) {
+void SharedHealth::recordFault(Runner& runner, base::TimePoint now) {
   const auto& snapshot = *runners_.snapshot();
-  if (!snapshot.view || runner.suspension.holds(now) || now - runner.troubleReportedAt < kReportAgain) return;
-  runner.troubleReportedAt = now;
+  if (!snapshot.view || runner.suspension.holds(now) || now - runner.faultReportedAt < kReportInterval) return;
+  runner.faultReportedAt = now;
   const auto routers = routersOf(*snapshot.view);
   for (const auto assessor : assessorsOf(routers, runner.entry.instanceId)) {
     if (assessor == snapshot.self)
-      gather(runner, *routerIn(routers, assessor), now);
+      addEvidence(runner, *routerIn(routers, assessor), now);
     else
-      trouble_[assessor].insert(runner.entry.instanceId);
+      pendingReports_[assessor].insert(runner.entry.instanceId);
   }
 }
 
@@ -34,7 +34,7 @@
 
 void SharedHealth::recordInTime(const Runner& runner, base::TimePoint now) {
   for (const auto& id : lateness_[runner.entry.service].inTime(runner.entry.instanceId))
-    if (auto* late = runners_.find(id)) recordTrouble(*late, now);
+    if (auto* late = runners_.find(id)) recordFault(*late, now);
 }
 
 void SharedHealth::receive(const schema::HealthReport& report, base::TimePoint now) {
@@ -48,7 +48,7 @@
     auto* runner = runners_.find(id);
     if (runner == nullptr) continue;
     if (!report.agreed)
-      gather(*runner, *reporter, now);
+      addEvidence(*runner, *reporter, now);
     else if (suspend(*runner, report.zone == kEveryZone, now))
       runner->evidence.clear();
   }
@@ -57,17 +57,17 @@
 std::vector<SharedHealth::Addressed> SharedHealth::takeReports() {
   const auto self = runners_.snapshot()->self;
   std::vector<Addressed> reports;
-  for (auto& [assessor, ids] : std::exchange(trouble_, {}))
+  for (auto& [assessor, ids] : std::exchange(pendingReports_, {}))
     reports.push_back({assessor, {self, false, kEveryZone, {ids.begin(), ids.end()}}});
-  for (auto& [zone, ids] : std::exchange(agreed_, {}))
+  for (auto& [zone, ids] : std::exchange(pendingVerdicts_, {}))
     reports.push_back({0, {self, true, zone, {ids.begin(), ids.end()}}});
   return reports;
 }
 
-void SharedHealth::gather(Runner& runner, const RouterId& reporter, base::TimePoint now) {
+void SharedHealth::addEvidence(Runner& runner, const RouterId& reporter, base::TimePoint now) {
   // One that has just started does not know yet how much a runner gets.
   if (runner.suspension.holds(now) || now - startedAt_ < bounds_.retryWindow) return;
-  runner.evidence.told(reporter, now);
+  runner.evidence.addReport(reporter, now);
   const auto& snapshot = *runners_.snapshot();
   const auto routers = routersOf(*snapshot.view);
   const auto expected = expectedRequests(runner.entry.service, routers.size());
@@ -78,7 +78,7 @@
   // What this router would not follow itself it tells nobody.
   if (here && !suspend(runner, *zone == kEveryZone, now)) return;
   runner.evidence.clear();
-  agreed_[*zone].insert(runner.entry.instanceId);
+  pendingVerdicts_[*zone].insert(runner.entry.instanceId);
 }
 
 // Requests that a runner of the service gets from all routers while evidence lasts, estimated from what comes in here.
--- a/src/routing/shared_health.hpp
+++ b/src/routing/shared_health.hpp
@@ -28,7 +28,7 @@
       : zone_(std::move(zone)), bounds_(bounds), runners_(runners), budgets_(budgets), startedAt_(startedAt) {}
 
   // An own request met trouble there.
-  void recordTrouble(Runner& runner, base::TimePoint now);
+  void recordFault(Runner& runner, base::TimePoint now);
   // An own request there has had no first byte within its aim, or has had it.
   void recordLate(const Runner& runner);
   void recordInTime(const Runner& runner, base::TimePoint now);
@@ -37,7 +37,7 @@
   std::vector<Addressed> takeReports();
 
  private:
-  void gather(Runner& runner, const RouterId& reporter, base::TimePoint now);
+  void addEvidence(Runner& runner, const RouterId& reporter, base::TimePoint now);
   double expectedRequests(const std::string& service, std::size_t routers) const;
   bool suspend(Runner& runner, bool byAll, base::TimePoint now);
 
@@ -46,9 +46,9 @@
   RunnerSet& runners_;
   const RetryBudgets& budgets_;
   base::TimePoint startedAt_;
-  std::map<std::string, Lateness> lateness_;                // by service
-  std::map<std::uint64_t, std::set<std::string>> trouble_;  // to be reported: assessor, runners
-  std::map<std::uint64_t, std::set<std::string>> agreed_;   // to be told to all: for which zone, runners
+  std::map<std::string, Lateness> lateness_;                        // by service
+  std::map<std::uint64_t, std::set<std::string>> pendingReports_;   // to be reported: assessor, runners
+  std::map<std::uint64_t, std::set<std::string>> pendingVerdicts_;  // to be told to all: for which zone, runners
 };
 
 }  // namespace indigohill::routing
--- a/src/routing/slow_start.cpp
+++ b/src/routing/slow_start.cpp
@@ -31,14 +31,14 @@
   return out;
 }
 
-std::size_t slowStartHolders(const control::Service& service, const Bounds& bounds, std::size_t routers) {
+std::size_t slowStartRouters(const control::Service& service, const Bounds& bounds, std::size_t routers) {
   const double spare = mostPerS(service, bounds) - service.warmupPerS;
   return std::min(routers, static_cast<std::size_t>(std::max(1.0, std::floor(spare))));
 }
 
 double slowStartRate(const control::Service& service, const Bounds& bounds, std::size_t routers) {
   if (routers == 0) return 0;
-  const auto n = static_cast<double>(slowStartHolders(service, bounds, routers));
+  const auto n = static_cast<double>(slowStartRouters(service, bounds, routers));
   return std::max(0.0, std::min(service.warmupPerS, mostPerS(service, bounds) - n) / n);
 }
 
@@ -95,7 +95,7 @@
     most = std::max(most, group.routers.size());
     least = std::min(least, group.routers.size());
   }
-  if (placeOf(instanceId, zone) >= slowStartHolders(service, bounds, least)) return 0;
+  if (placeOf(instanceId, zone) >= slowStartRouters(service, bounds, least)) return 0;
   return slowStartRate(service, bounds, most);
 }
 
--- a/src/routing/slow_start.hpp
+++ b/src/routing/slow_start.hpp
@@ -27,7 +27,7 @@
 
 // How many routers hold a part of a cold runner's rate, of `routers` there are: as many as may each have one request in
 // hand besides the whole of the rate.
-std::size_t slowStartHolders(const control::Service& service, const Bounds& bounds, std::size_t routers);
+std::size_t slowStartRouters(const control::Service& service, const Bounds& bounds, std::size_t routers);
 // Requests a second that each holder may send there.
 double slowStartRate(const control::Service& service, const Bounds& bounds, std::size_t routers);
 
--- a/src/routing/table.cpp
+++ b/src/routing/table.cpp
@@ -11,16 +11,16 @@
 constexpr base::Millis kSlowStartMargin{1000};  // beyond the lease: slow start rates are counted by the second
 constexpr double kNoticeBurst = 5;
 constexpr double kUnknownServiceRetryAfterS = 0.5;
-constexpr base::Millis kAimUnlessSet{1000};
-constexpr std::uint32_t kConnectionsUnlessSet = 64;
+constexpr base::Millis kDefaultLatencyTarget{1000};
+constexpr std::uint32_t kDefaultMaxConnections = 64;
 
 std::uint32_t connectionsPerRouter(const control::Service& service, std::size_t routers) {
-  if (service.maxConnections == 0) return kConnectionsUnlessSet;
+  if (service.maxConnections == 0) return kDefaultMaxConnections;
   return std::max<std::uint32_t>(1, static_cast<std::uint32_t>(service.maxConnections / routers));
 }
 }  // namespace
 
-void Admission::begun(base::Clock::duration after) {
+void Admission::onFirstToken(base::Clock::duration after) {
   if (table_ == nullptr) return;
   table_->promptRead(charge_, after);
   charge_.promptTokens = 0;
@@ -122,14 +122,14 @@
   for (const auto& [part, tokens] : shared) sharedTokens += tokens;
   // One router sees a small part of the traffic, so its own record alone says little. What is short is cheaper read
   // again than announced.
-  const bool worthTelling = tell_ && cache_.index() != nullptr &&
-                            static_cast<double>(sharedTokens) >= bounds_.policy.recordTokens &&
-                            cache_.index()->overlap(runner->number, model, shared).tokens < sharedTokens;
+  const bool isWorthAnnouncing = sendNotice_ && cache_.index() != nullptr &&
+                                 static_cast<double>(sharedTokens) >= bounds_.policy.recordTokens &&
+                                 cache_.index()->overlap(runner->number, model, shared).tokens < sharedTokens;
   cache_.store(runner->number, model, prompt);
-  if (!worthTelling || !noticeBudget_.take()) return;
+  if (!isWorthAnnouncing || !noticeBudget_.take()) return;
   schema::LoadNotice notice{instanceId, 0, 0, model, {}};
   for (const auto& [id, tokens] : shared) notice.parts.push_back({id, tokens});
-  tell_(notice);
+  sendNotice_(notice);
 }
 
 std::string Table::home(const std::string& service, const kvindex::PromptParts& prompt) const {
@@ -226,7 +226,7 @@
 // A request waits for part of its aim, then it is rejected.
 Decision Table::waitOrReject(const RequestProfile& request, const char* why, base::TimePoint now) const {
   const auto& policy = bounds_.policy;
-  const auto aim = request.route->targetLatency.count() > 0 ? request.route->targetLatency : kAimUnlessSet;
+  const auto aim = request.route->targetLatency.count() > 0 ? request.route->targetLatency : kDefaultLatencyTarget;
   const base::Millis part(static_cast<std::int64_t>(policy.waitShare * static_cast<double>(aim.count())));
   const auto until = std::min(request.arrivedAt + part, request.deadline);
   if (now >= until) return Reject{503, policy.retryAfterS, why};
@@ -249,7 +249,7 @@
   if (choices.empty()) return waitOrReject(request, whyNobody(request, now), now);
   for (const auto& choice : choices) {
     if (RunnerChooser::full(choice, context)) continue;
-    if (choice.runner->coldUntil > now && !admitSlowStart(*choice.runner, *service, now)) continue;
+    if (choice.runner->warmupUntil > now && !admitSlowStart(*choice.runner, *service, now)) continue;
     return admit(choice, request, context);
   }
   return waitOrReject(request, "every runner is full", now);
@@ -264,9 +264,9 @@
   runner.ejection.admitted(context.now);
   Admission::Charge charge{entry.instanceId, unread, 0, request.model,
                            context.engine ? request.prompt : kvindex::PromptParts{}};
-  if (context.engine && tell_ && unread >= bounds_.policy.tellTokens && noticeBudget_.take()) {
+  if (context.engine && sendNotice_ && unread >= bounds_.policy.tellTokens && noticeBudget_.take()) {
     charge.announcedAs = chooser_.random()() | 1;
-    tell_({entry.instanceId, charge.announcedAs, unread, 0, {}});
+    sendNotice_({entry.instanceId, charge.announcedAs, unread, 0, {}});
   }
   auto version = request.version;
   if (!version && runners_.snapshot()->rolloutOf(request.service) != nullptr)
@@ -280,12 +280,12 @@
           version};
 }
 
-void Table::setTell(std::function<void(const schema::LoadNotice&)> tell) {
+void Table::setNoticeSender(std::function<void(const schema::LoadNotice&)> send) {
   const std::lock_guard lock(mutex_);
-  tell_ = std::move(tell);
+  sendNotice_ = std::move(send);
 }
 
-void Table::heard(const schema::LoadNotice& notice, base::TimePoint now) {
+void Table::receive(const schema::LoadNotice& notice, base::TimePoint now) {
   const std::lock_guard lock(mutex_);
   auto* runner = runners_.find(notice.instanceId);
   if (runner == nullptr) return;
@@ -304,7 +304,7 @@
   if (runner == nullptr) return;
   if (after) prefillSpeed_.record(charge.promptTokens, runner->load.ownUnreadTokens(), *after);
   runner->load.promptRead(charge.promptTokens);
-  if (charge.announcedAs != 0 && tell_) tell_({charge.instanceId, charge.announcedAs, 0, 0, {}});
+  if (charge.announcedAs != 0 && sendNotice_) sendNotice_({charge.instanceId, charge.announcedAs, 0, 0, {}});
 }
 
 void Table::giveBack(const Admission::Charge& charge) {
@@ -321,13 +321,13 @@
   auto* runner = runners_.find(instanceId);
   if (runner == nullptr) return;
   if (result == AttemptResult::Failure) {
-    health_.recordTrouble(*runner, now);
+    health_.recordFault(*runner, now);
     runner->ejection.failed(bounds_.policy.ejectMs, now);
     return;
   }
   // Rejected where there is room: a runner that is unhealthy this way looks idle and draws more and more.
   if (result == AttemptResult::Rejected && runner->load.requests(now) < runner->entry.slots)
-    health_.recordTrouble(*runner, now);
+    health_.recordFault(*runner, now);
   runner->ejection.succeeded();
 }
 
@@ -352,7 +352,7 @@
   return health_.takeReports();
 }
 
-void Table::heard(const schema::HealthReport& report, base::TimePoint now) {
+void Table::receive(const schema::HealthReport& report, base::TimePoint now) {
   const std::lock_guard lock(mutex_);
   health_.receive(report, now);
 }
--- a/src/routing/table.hpp
+++ b/src/routing/table.hpp
@@ -72,7 +72,7 @@
   bool suspended(const std::string& instanceId, base::TimePoint now) const;
   // The health reports that are due. Asked at each tick.
   std::vector<SharedHealth::Addressed> takeHealthReports(base::TimePoint now);
-  void heard(const schema::HealthReport& report, base::TimePoint now);
+  void receive(const schema::HealthReport& report, base::TimePoint now);
   // What the runner reported of its load.
   void reportLoad(const std::string& instanceId, std::uint32_t running, std::uint32_t waiting, std::uint32_t slots,
                   base::TimePoint now);
@@ -109,8 +109,8 @@
 
   // Long prompts are announced to the other routers as they go out and when they have been read. `tell` is called with
   // the table locked: it only hands on.
-  void setTell(std::function<void(const schema::LoadNotice&)> tell);
-  void heard(const schema::LoadNotice& notice, base::TimePoint now);
+  void setNoticeSender(std::function<void(const schema::LoadNotice&)> send);
+  void receive(const schema::LoadNotice& notice, base::TimePoint now);
 
  private:
   friend class Admission;
@@ -137,7 +137,7 @@
   SharedHealth health_;
   FleetSize fleetSize_;
   mutable SlowStartShares slowStart_;
-  std::function<void(const schema::LoadNotice&)> tell_;
+  std::function<void(const schema::LoadNotice&)> sendNotice_;
   TokenBucket noticeBudget_{base::TimePoint{}};  // full at the first refill
 };
 
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -86,7 +86,8 @@
 }
 
 base::Result<Endpoint> parseEndpoint(const std::string& text) {
-  const auto wrong = base::Error{base::ErrorCode::InvalidInput, "an address like 10.0.0.1:8080 is wanted, not '" + text + "'"};
+  const auto wrong =
+      base::Error{base::ErrorCode::InvalidInput, "an address like 10.0.0.1:8080 is wanted, not '" + text + "'"};
   const auto colon = text.find(':');
   if (colon == std::string::npos) return wrong;
   Endpoint out;
@@ -167,7 +168,8 @@
   if (auto wrong = readSettings(std::get<Tree>(tree), out); !wrong.empty())
     return base::Error{base::ErrorCode::InvalidInput, wrong};
   if (auto own = parseEndpoint(out.ipAddress + ":1"); base::errorIn(own))
-    return base::Error{base::ErrorCode::InvalidInput, "ipAddress: an IPv4 address is wanted, not '" + out.ipAddress + "'"};
+    return base::Error{base::ErrorCode::InvalidInput,
+                       "ipAddress: an IPv4 address is wanted, not '" + out.ipAddress + "'"};
   if (!base::isLogLevel(out.logLevel))
     return base::Error{base::ErrorCode::InvalidInput, "logLevel: debug, info, warn or error is wanted"};
   return out;
@@ -192,7 +194,7 @@
   return {};
 }
 
-std::uint16_t cohortPort(const Settings& settings, bool controller) {
+std::uint16_t peerPort(const Settings& settings, bool controller) {
   return static_cast<std::uint16_t>(settings.internalPortRange.first + (controller ? 1 : 0));
 }
 
--- a/src/settings/settings.hpp
+++ b/src/settings/settings.hpp
@@ -48,6 +48,6 @@
 std::string missingFor(const Settings& settings, const std::string& role);
 
 // The cohort's ports are agreed by role: the first of the range is the router's, the second the controller's.
-std::uint16_t cohortPort(const Settings& settings, bool controller);
+std::uint16_t peerPort(const Settings& settings, bool controller);
 
 }  // namespace indigohill::settings
--- a/src/sim/operators.cpp
+++ b/src/sim/operators.cpp
@@ -13,7 +13,7 @@
 
 constexpr std::uint64_t kFirstMarker = 100'000;  // timeouts that no other route has, so that each order's is its own
 constexpr std::size_t kRedirectsFollowed = 2;
-constexpr Millis kFirstPause{100}, kLongestPause{800};
+constexpr Millis kFirstBackoff{100}, kMaxBackoff{800};
 
 constexpr std::string_view kStreamRoute =
     R"({{"name":"r-text","hostname":"a.example","pathPrefix":"/text/","routeType":"streaming","timeoutMs":{},)"
@@ -37,7 +37,7 @@
 }  // namespace
 
 Operators::Operators(World& world, OperatorOptions options) : world_(world), options_(options) {
-  world_.onState = [this](std::size_t node, const schema::ControlState& state) { inForce(node, state); };
+  world_.onState = [this](std::size_t node, const schema::ControlState& state) { noteInForce(node, state); };
 }
 
 std::string Operators::documentOf(std::uint64_t revision, std::uint64_t marker) const {
@@ -52,12 +52,12 @@
                      kLimits);
 }
 
-bool Operators::matches(const Placed& order, const std::string& document) const {
+bool Operators::matches(const SentOrder& order, const std::string& document) const {
   if (order.kind == OrderKind::Replace) return document == order.body;
   return document.find(fmt::format("\"timeoutMs\":{},", order.marker)) != std::string::npos;
 }
 
-std::string Operators::text(const Placed& order) const {
+std::string Operators::text(const SentOrder& order) const {
   return fmt::format("{} {} on {} (marker {})", order.kind == OrderKind::Replace ? "replacement" : "update",
                      order.revision, order.base, order.marker);
 }
@@ -112,7 +112,7 @@
 }
 
 std::size_t Operators::place(std::uint64_t base) {
-  Placed order;
+  SentOrder order;
   order.base = base;
   // Two operators may pick the same number.
   order.revision = chance(0.3) && highest_ > base ? highest_ : ++highest_;
@@ -146,7 +146,7 @@
   Attempt attempt;
   attempt.order = SIZE_MAX;
   attempt.sentAt = world_.now();
-  attempt.newestTold = current_;
+  attempt.newestKnown = current_;
   attempt.done = [done = std::move(done)](int) {
     if (done) done();
   };
@@ -160,7 +160,7 @@
   attempt.order = order;
   attempt.sentAt = world_.now();
   attempt.newestInForce = inForce_.empty() ? 0 : inForce_.rbegin()->first;
-  attempt.newestTold = current_;
+  attempt.newestKnown = current_;
   attempt.once = once;
   attempt.done = std::move(done);
   ++open_;
@@ -174,18 +174,18 @@
   const auto base = reading ? 0 : orders_[attempt.order].base;
   auto body = reading ? std::string() : orders_[attempt.order].body;
   world_.order(at, kind, base, std::move(body), [this, kind, attempt](const control::Answer& answer) {
-    if (isClear(answer, kind)) told(attempt, answer);
+    if (isClear(answer, kind)) onAnswer(attempt, answer);
     if (isClear(answer, kind) || attempt.once) {
       --open_;
       openSince_.erase(openSince_.find(attempt.sentAt));
       if (attempt.done) attempt.done(answer.status);
       return;
     }
-    again(attempt, answer);
+    retry(attempt, answer);
   });
 }
 
-void Operators::again(Attempt attempt, const control::Answer& answer) {
+void Operators::retry(Attempt attempt, const control::Answer& answer) {
   if (answer.status == 307 && attempt.redirects < kRedirectsFollowed) {
     ++attempt.redirects;
     if (const auto primary = world_.nodeAt(answer.redirect)) {
@@ -194,21 +194,21 @@
     }
   }
   attempt.redirects = 0;
-  const auto pause = std::min(kLongestPause, kFirstPause * (1 << std::min<std::size_t>(attempt.tries, 3)));
+  const auto pause = std::min(kMaxBackoff, kFirstBackoff * (1 << std::min<std::size_t>(attempt.tries, 3)));
   ++attempt.tries;
   world_.after(pause, [this, attempt] { send(anyControlNode(), attempt); });
 }
 
-void Operators::told(const Attempt& attempt, const control::Answer& answer) {
+void Operators::onAnswer(const Attempt& attempt, const control::Answer& answer) {
   if (attempt.order == SIZE_MAX)
-    toldDocument(attempt, answer);
+    onDocument(attempt, answer);
   else if (answer.status == 200)
-    toldAcknowledged(attempt);
+    handleAcknowledged(attempt);
   else
-    toldRefused(attempt, answer.status);
+    onRefused(attempt, answer.status);
 }
 
-void Operators::toldAcknowledged(const Attempt& attempt) {
+void Operators::handleAcknowledged(const Attempt& attempt) {
   auto& order = orders_[attempt.order];
   const bool first = !order.acknowledged;
   order.acknowledged = true;
@@ -224,7 +224,7 @@
   if (first && onAcknowledged) onAcknowledged();
 }
 
-void Operators::toldRefused(const Attempt& attempt, int status) {
+void Operators::onRefused(const Attempt& attempt, int status) {
   auto& order = orders_[attempt.order];
   order.refused = true;
   if (order.acknowledged)
@@ -237,10 +237,10 @@
     world_.breakRule(fmt::format("{} is answered {}, on top of the newest version", text(order), status));
 }
 
-void Operators::toldDocument(const Attempt& attempt, const control::Answer& answer) {
+void Operators::onDocument(const Attempt& attempt, const control::Answer& answer) {
   if (answer.status == 404) {
-    if (attempt.newestTold > 0)
-      world_.breakRule(fmt::format("no configuration is read although {} was acknowledged", attempt.newestTold));
+    if (attempt.newestKnown > 0)
+      world_.breakRule(fmt::format("no configuration is read although {} was acknowledged", attempt.newestKnown));
     return;
   }
   const auto parsed = control::parseConfiguration(answer.body);
@@ -252,14 +252,14 @@
   const auto found = inForce_.find(revision);
   if (found == inForce_.end() || !matches(orders_[found->second], answer.body))
     world_.breakRule(fmt::format("a read gives a revision {} that was never in force", revision));
-  if (revision < attempt.newestTold)
+  if (revision < attempt.newestKnown)
     world_.breakRule(fmt::format("a read gives {} although {} was acknowledged or read before it was sent", revision,
-                                 attempt.newestTold));
+                                 attempt.newestKnown));
   current_ = std::max(current_, revision);
 }
 
 // What a daemon holds as being in force: one order for each revision, on top of the one before, and none refused.
-void Operators::inForce(std::size_t node, const schema::ControlState& state) {
+void Operators::noteInForce(std::size_t node, const schema::ControlState& state) {
   if (state.revision == 0) return;
   const auto& name = world_.node(node).name;
   if (const auto known = inForce_.find(state.revision); known != inForce_.end()) {
--- a/src/sim/operators.hpp
+++ b/src/sim/operators.hpp
@@ -53,7 +53,7 @@
   std::size_t acknowledged() const { return acknowledged_.size(); }
 
  private:
-  struct Placed {
+  struct SentOrder {
     control::OrderKind kind = control::OrderKind::Replace;
     std::uint64_t base = 0, revision = 0, marker = 0;
     std::string body;
@@ -63,7 +63,7 @@
     std::size_t order = 0;
     base::TimePoint sentAt;
     std::uint64_t newestInForce = 0;  // when it was first sent
-    std::uint64_t newestTold = 0;     // newest revision acknowledged or read when it was first sent
+    std::uint64_t newestKnown = 0;    // newest revision acknowledged or read when it was first sent
     std::size_t tries = 0, redirects = 0;
     bool once = false;
     std::function<void(int)> done;
@@ -73,21 +73,21 @@
   std::size_t place(std::uint64_t base);
   void pursue(std::size_t order, bool once, std::function<void(int)> done);
   void send(std::size_t at, Attempt attempt);
-  void again(Attempt attempt, const control::Answer& answer);
-  void told(const Attempt& attempt, const control::Answer& answer);
-  void toldAcknowledged(const Attempt& attempt);
-  void toldRefused(const Attempt& attempt, int status);
-  void toldDocument(const Attempt& attempt, const control::Answer& answer);
-  void inForce(std::size_t node, const schema::ControlState& state);
+  void retry(Attempt attempt, const control::Answer& answer);
+  void onAnswer(const Attempt& attempt, const control::Answer& answer);
+  void handleAcknowledged(const Attempt& attempt);
+  void onRefused(const Attempt& attempt, int status);
+  void onDocument(const Attempt& attempt, const control::Answer& answer);
+  void noteInForce(std::size_t node, const schema::ControlState& state);
   std::size_t anyControlNode();
   bool chance(double probability);
   std::string documentOf(std::uint64_t revision, std::uint64_t marker) const;
-  bool matches(const Placed& order, const std::string& document) const;
-  std::string text(const Placed& order) const;
+  bool matches(const SentOrder& order, const std::string& document) const;
+  std::string text(const SentOrder& order) const;
 
   World& world_;
   OperatorOptions options_;
-  std::vector<Placed> orders_;
+  std::vector<SentOrder> orders_;
   std::map<std::uint64_t, std::size_t> inForce_;             // revision -> order
   std::map<std::uint64_t, base::TimePoint> acknowledged_;    // revision -> when
   std::map<std::uint64_t, std::size_t> acknowledgedOnBase_;  // base -> order
--- a/src/sim/world.cpp
+++ b/src/sim/world.cpp
@@ -30,15 +30,15 @@
 
 World::World(Shape shape) : shape_(shape), random_(shape.seed) {
   const auto zones = shape.zones == 0 ? shape.controllers : shape.zones;
-  for (std::size_t i = 0; i < shape.controllers + shape.routers + shape.relays; ++i) {
+  for (std::size_t i = 0; i < shape.controllers + shape.routers + shape.observers; ++i) {
     auto n = std::make_unique<Node>();
-    n->isRelay = i >= shape.controllers + shape.routers;
-    n->isController = i < shape.controllers || n->isRelay;
+    n->isObserver = i >= shape.controllers + shape.routers;
+    n->isController = i < shape.controllers || n->isObserver;
     n->name = fmt::format("node-{}", i);
     n->zone = fmt::format("zone-{}", i % zones);
-    n->cohort = {0x0a000001u + static_cast<std::uint32_t>(i),
-                 static_cast<std::uint16_t>(n->isController ? 7001 : 7000)};
-    n->control = {n->cohort.ip, 8000};
+    n->peerAddress = {0x0a000001u + static_cast<std::uint32_t>(i),
+                      static_cast<std::uint16_t>(n->isController ? 7001 : 7000)};
+    n->control = {n->peerAddress.ip, 8000};
     nodes_.push_back(std::move(n));
   }
   for (std::size_t i = 0; i < nodes_.size(); ++i) start(i);
@@ -67,9 +67,9 @@
   return done();
 }
 
-std::optional<std::size_t> World::at(const settings::Endpoint& cohort) const {
+std::optional<std::size_t> World::at(const settings::Endpoint& peerAddress) const {
   for (std::size_t i = 0; i < nodes_.size(); ++i)
-    if (nodes_[i]->cohort == cohort) return i;
+    if (nodes_[i]->peerAddress == peerAddress) return i;
   return std::nullopt;
 }
 
@@ -79,12 +79,12 @@
   return std::nullopt;
 }
 
-// What happens at a node happens only in the life it was meant for, and waits while the machine is frozen.
-void World::onNode(std::size_t i, std::uint64_t life, Input input, std::function<void()> what) {
+// What happens at a node happens only in the incarnation it was meant for, and waits while the machine is frozen.
+void World::onNode(std::size_t i, std::uint64_t incarnation, Input input, std::function<void()> what) {
   auto& n = *nodes_[i];
-  if (!n.alive || n.life != life) return;
+  if (!n.alive || n.incarnation != incarnation) return;
   if (n.frozen)
-    n.heldUp.push_back({input, [this, i, life, input, what] { onNode(i, life, input, what); }});
+    n.deferredInputs.push_back({input, [this, i, incarnation, input, what] { onNode(i, incarnation, input, what); }});
   else
     what();
 }
@@ -93,21 +93,21 @@
   auto& n = *nodes_[i];
   n.alive = n.powered = true;
   n.frozen = false;
-  ++n.life;
+  ++n.incarnation;
   n.isolatedSince.reset();
   noteIsolation();
   n.lastView = 0;
   n.lastRevision = 0;
-  n.lastStamp = {};
+  n.lastVersion = {};
   std::vector<settings::Endpoint> controls;
   for (std::size_t c = 0; c < std::min(shape_.controllers, kSeeds); ++c) controls.push_back(nodes_[c]->control);
-  if (!shape_.seedTurnover || n.life == 1) {
+  if (!shape_.seedTurnover || n.incarnation == 1) {
     n.seeds.clear();
-    for (std::size_t c = 0; c < controls.size(); ++c) n.seeds.push_back(nodes_[c]->cohort);
+    for (std::size_t c = 0; c < controls.size(); ++c) n.seeds.push_back(nodes_[c]->peerAddress);
   }
   if (!seedNodes.empty()) {
     n.seeds.clear();
-    for (const auto seed : seedNodes) n.seeds.push_back(nodes_[seed]->cohort);
+    for (const auto seed : seedNodes) n.seeds.push_back(nodes_[seed]->peerAddress);
   }
   const auto& seeds = n.seeds;
   if (n.isController) {
@@ -117,20 +117,20 @@
       const auto found = n.disk.find(slot);
       return found == n.disk.end() ? std::nullopt : std::optional(found->second);
     };
-    if (!n.isRelay)
-      identity = control::identify(read, bootstrap_ && n.life == 1, controls, n.control, random_(), writes);
+    if (!n.isObserver)
+      identity = control::identify(read, bootstrap_ && n.incarnation == 1, controls, n.control, random_(), writes);
     if (!writes.empty() && (n.diskFull || n.diskStalled)) {
       startLater(i);
       return;
     }
     control::Controller::Options options;
     options.faultTolerance = shape_.faultTolerance;
-    n.controller = std::make_unique<control::Controller>(control::Controller::Self{n.name, n.zone, n.cohort},
+    n.controller = std::make_unique<control::Controller>(control::Controller::Self{n.name, n.zone, n.peerAddress},
                                                          std::move(identity), seeds, options, random_());
     // The daemon has its identity on disk before it says anything.
     for (auto& write : writes) n.disk[write.slot] = std::move(write.bytes);
   } else {
-    n.router = std::make_unique<router::RouterCore>(router::RouterCore::Self{n.name, n.zone, n.cohort}, seeds,
+    n.router = std::make_unique<router::RouterCore>(router::RouterCore::Self{n.name, n.zone, n.peerAddress}, seeds,
                                                     membership::Times{}, feed::Times{}, Millis(3000), random_(), now_);
     n.journal = std::make_unique<base::Journal<routing::Event, routing::RoutingSnapshot>>(routing::fold);
     routing::Bounds bounds;
@@ -139,7 +139,7 @@
     bounds.lease = membership::Times{}.lease + membership::Times{}.handover;
     n.table = std::make_unique<routing::Table>(n.zone, bounds, random_(), now_);
   }
-  after(Millis(random_() % 100), [this, i, life = n.life] { tickLoop(i, life); });
+  after(Millis(random_() % 100), [this, i, incarnation = n.incarnation] { tickLoop(i, incarnation); });
 }
 
 // The process waits for a disk that takes its identity; it neither listens nor speaks before that.
@@ -147,13 +147,13 @@
   constexpr Millis kRetry{100};
   auto& n = *nodes_[i];
   n.alive = false;
-  after(kRetry, [this, i, life = n.life] {
-    if (!nodes_[i]->alive && nodes_[i]->life == life) start(i);
+  after(kRetry, [this, i, incarnation = n.incarnation] {
+    if (!nodes_[i]->alive && nodes_[i]->incarnation == incarnation) start(i);
   });
 }
 
-void World::tickLoop(std::size_t i, std::uint64_t life) {
-  onNode(i, life, Input::Timer, [this, i, life] {
+void World::tickLoop(std::size_t i, std::uint64_t incarnation) {
+  onNode(i, incarnation, Input::Timer, [this, i, incarnation] {
     auto& n = *nodes_[i];
     if (n.isController) {
       control::Effects effects;
@@ -161,8 +161,8 @@
       perform(i, effects);
       if (n.controller->isListReadDue(now_)) {
         const auto askedAt = now_;
-        after(Millis(2), [this, i, life, askedAt] {
-          onNode(i, life, Input::Message, [this, i, askedAt] {
+        after(Millis(2), [this, i, incarnation, askedAt] {
+          onNode(i, incarnation, Input::Message, [this, i, askedAt] {
             control::Effects fx2;
             nodes_[i]->controller->onListRead(platform, askedAt, now_, fx2);
             perform(i, fx2);
@@ -178,16 +178,16 @@
       n.router->tick(now_, effects);
       perform(i, effects);
     }
-    after(n.isRelay        ? kObserverTick
+    after(n.isObserver     ? kObserverTick
           : n.isController ? kControllerTick
                            : kRouterTick,
-          [this, i, life] { tickLoop(i, life); });
+          [this, i, incarnation] { tickLoop(i, incarnation); });
   });
 }
 
 void World::perform(std::size_t i, control::Effects& effects) {
   auto& n = *nodes_[i];
-  if (n.isRelay && !effects.writes.empty()) breakRule(n.name + " has no disk and wants to write");
+  if (n.isObserver && !effects.writes.empty()) breakRule(n.name + " has no disk and wants to write");
   for (auto& write : effects.writes) n.unsynced.push_back(std::move(write));
   startCommit(i);
   for (const auto& answer : effects.answers) takeAnswer(i, answer);
@@ -225,7 +225,7 @@
                 .with("call", answer.call)
                 .with("status", answer.status)
                 .with("body", answer.body.substr(0, 60))});
-  if (call.node != i || call.life != n.life || call.answered)
+  if (call.node != i || call.incarnation != n.incarnation || call.answered)
     breakRule(fmt::format("{} answers call {} {}", n.name, answer.call, call.answered ? "again" : "of another"));
   call.answered = true;
   if (onAnswer) onAnswer(i, answer);
@@ -303,14 +303,15 @@
   n.committing.insert(n.committing.end(), std::make_move_iterator(n.unsynced.begin()),
                       std::make_move_iterator(n.unsynced.end()));
   n.unsynced.clear();
-  after(kDiskSync + Millis(random_() % 4) + n.diskDelay, [this, i, life = n.life] { finishCommit(i, life); });
+  after(kDiskSync + Millis(random_() % 4) + n.diskDelay,
+        [this, i, incarnation = n.incarnation] { finishCommit(i, incarnation); });
 }
 
-void World::finishCommit(std::size_t i, std::uint64_t life) {
+void World::finishCommit(std::size_t i, std::uint64_t incarnation) {
   auto& n = *nodes_[i];
-  if (!n.alive || n.life != life) return;
+  if (!n.alive || n.incarnation != incarnation) return;
   if (n.diskStalled) {
-    after(Millis(50), [this, i, life] { finishCommit(i, life); });
+    after(Millis(50), [this, i, incarnation] { finishCommit(i, incarnation); });
     return;
   }
   const bool ok = !n.diskFull;
@@ -323,12 +324,12 @@
   }
   for (const auto& write : writes)
     if (write.token != kToldBefore)
-      onNode(i, life, Input::Disk, [this, i, token = write.token, ok] {
+      onNode(i, incarnation, Input::Disk, [this, i, token = write.token, ok] {
         control::Effects effects;
         nodes_[i]->controller->onDiskWrite(token, ok, now_, effects);
         perform(i, effects);
       });
-  if (n.alive && n.life == life) startCommit(i);
+  if (n.alive && n.incarnation == incarnation) startCommit(i);
 }
 
 void World::deliver(std::size_t from, net::Outbox out) {
@@ -339,9 +340,9 @@
     // Through the real encoding, as on the wire.
     auto bytes = net::encode(item.message);
     const auto delay = Millis(1 + random_() % 3 + (random_() % 200 == 0 ? 40 : 0));
-    const auto sender = nodes_[from]->cohort;
-    after(delay, [this, to = *to, life = nodes_[*to]->life, sender, bytes = std::move(bytes)] {
-      onNode(to, life, Input::Message, [this, to, sender, bytes] {
+    const auto sender = nodes_[from]->peerAddress;
+    after(delay, [this, to = *to, incarnation = nodes_[*to]->incarnation, sender, bytes = std::move(bytes)] {
+      onNode(to, incarnation, Input::Message, [this, to, sender, bytes] {
         auto message = net::decode(bytes);
         if (const auto* bad = base::errorIn(message)) {
           breakRule("a message of the project's own cannot be read: " + bad->message);
@@ -370,13 +371,13 @@
 void World::stop(std::size_t i, bool power) {
   auto& n = *nodes_[i];
   if (!n.alive) {
-    ++n.life;  // one that waits for its disk ends as well
+    ++n.incarnation;  // one that waits for its disk ends as well
     return;
   }
   n.alive = false;
   n.powered = !power;
   n.frozen = false;
-  n.heldUp.clear();
+  n.deferredInputs.clear();
   // The transaction under way is whole or absent; those after it have not begun.
   if (!n.diskStalled && !n.diskFull && random_() % (power ? 4 : 2) == 0)
     for (const auto& write : n.committing) n.disk[write.slot] = write.bytes;
@@ -404,7 +405,7 @@
   constexpr Millis kTimersLate{20};
   auto& n = *nodes_[i];
   n.frozen = false;
-  auto held = std::exchange(n.heldUp, {});
+  auto held = std::exchange(n.deferredInputs, {});
   if (order == WakeOrder::OrdersFirst)
     std::stable_partition(held.begin(), held.end(), [](const auto& h) { return h.input == Input::Order; });
   for (auto& [input, handle] : held) {
@@ -428,7 +429,7 @@
   std::shuffle(pool.begin(), pool.end(), random_);
   if (pool.size() > kSeeds) pool.resize(kSeeds);
   std::vector<settings::Endpoint> out;
-  for (const auto i : pool) out.push_back(nodes_[i]->cohort);
+  for (const auto i : pool) out.push_back(nodes_[i]->peerAddress);
   return out;
 }
 
@@ -443,8 +444,8 @@
     router::RouterEffects effects;
     n.router->leave(effects);
     perform(i, effects);
-    after(Millis(3000), [this, i, life = n.life] {
-      if (nodes_[i]->life == life) kill(i);
+    after(Millis(3000), [this, i, incarnation = n.incarnation] {
+      if (nodes_[i]->incarnation == incarnation) kill(i);
     });
   }
 }
@@ -452,8 +453,8 @@
 void World::replace(std::size_t i) {
   wipe(i);
   auto& n = *nodes_[i];
-  n.cohort.ip += 0x100;
-  n.control.ip = n.cohort.ip;
+  n.peerAddress.ip += 0x100;
+  n.control.ip = n.peerAddress.ip;
   n.name += "-new";
 }
 
@@ -479,16 +480,16 @@
   if (random_() % 2 == 0) return;
   const auto& call = pendingCalls_[number];
   if (call.answered) return;
-  onNode(call.node, call.life, Input::Message,
+  onNode(call.node, call.incarnation, Input::Message,
          [this, number, node = call.node] { nodes_[node]->controller->cancel(number); });
 }
 
-std::optional<std::size_t> World::nodeAt(const settings::Endpoint& cohort) const { return at(cohort); }
+std::optional<std::size_t> World::nodeAt(const settings::Endpoint& peerAddress) const { return at(peerAddress); }
 
 void World::order(std::size_t i, control::OrderKind kind, std::uint64_t baseVersion, std::string body,
                   std::function<void(const control::Answer&)> done) {
   const auto number = ++calls_;
-  pendingCalls_[number] = {kind, i, nodes_[i]->life, now_, newestActiveEpoch_, false, std::move(done)};
+  pendingCalls_[number] = {kind, i, nodes_[i]->incarnation, now_, newestActiveEpoch_, false, std::move(done)};
   const auto giveUp = [this, number] {
     auto late = std::exchange(pendingCalls_[number].done, {});
     if (!late) return;
@@ -501,8 +502,8 @@
       giveUp();
       return;
     }
-    pendingCalls_[number].life = n.life;
-    onNode(i, n.life, Input::Order, [this, i, number, kind, baseVersion, body] {
+    pendingCalls_[number].incarnation = n.incarnation;
+    onNode(i, n.incarnation, Input::Order, [this, i, number, kind, baseVersion, body] {
       control::Effects effects;
       nodes_[i]->controller->submit({number, kind, baseVersion, body}, now_, effects);
       perform(i, effects);
@@ -643,10 +644,10 @@
       n.lastView = 0;
     }
     if (source.state()) {
-      if (source.state()->version < n.lastStamp || source.state()->revision < n.lastRevision)
+      if (source.state()->version < n.lastVersion || source.state()->revision < n.lastRevision)
         breakRule(n.name + " goes back to an older configuration");
-      if (onState && n.lastStamp != source.state()->version) onState(i, *source.state());
-      n.lastStamp = source.state()->version;
+      if (onState && n.lastVersion != source.state()->version) onState(i, *source.state());
+      n.lastVersion = source.state()->version;
       n.lastRevision = source.state()->revision;
     }
     if (!n.isController && !n.frozen && group.leaseHeld(now_)) {
--- a/src/sim/world.hpp
+++ b/src/sim/world.hpp
@@ -26,7 +26,7 @@
   double loss = 0.01;
   std::size_t faultTolerance = 1;  // faultTolerance: core machines that may be lost at once
   std::size_t zones = 0;           // 0: one for each controller
-  std::size_t relays = 0;          // controllers without a disk
+  std::size_t observers = 0;       // controllers without a disk
   // Bounds of cold runners; so small that even a few routers cannot all hold a part.
   double warmupOvershoot = 1.5, warmupSlack = 2;
   // Seeds named at a restart are drawn anew from all machines that serve control, up or not.
@@ -40,20 +40,20 @@
 enum class Input : std::uint8_t { Timer, Disk, Message, Order };
 enum class WakeOrder : std::uint8_t { AsArrived, OrdersFirst, MessagesFirst };
 
-struct HeldInput {
+struct DeferredInput {
   Input input = Input::Timer;
   std::function<void()> handle;
 };
 
 struct Node {
   std::string name, zone;
-  settings::Endpoint cohort, control;
-  bool isController = false, isRelay = false;
+  settings::Endpoint peerAddress, control;
+  bool isController = false, isObserver = false;
   bool powered = true;  // a process that ended on a machine with power refuses connections; one without says nothing
   bool alive = false, frozen = false, diskStalled = false, diskFull = false;
   base::Millis diskDelay{0};  // added to each transaction
-  std::uint64_t life = 0;
-  std::vector<settings::Endpoint> seeds;      // cohort addresses in its settings file
+  std::uint64_t incarnation = 0;
+  std::vector<settings::Endpoint> seeds;      // peerAddress addresses in its settings file
   std::map<control::Slot, std::string> disk;  // what a loss of power leaves
   // Like the store: all writes asked for while a transaction is under way make up the next one.
   // Writes that failed go to the disk before the next that succeeds.
@@ -61,7 +61,7 @@
   // The newest state that was on a disk which was lost, and when: its word may still be on its way to the primary.
   schema::StateVersion lostVersion;
   base::TimePoint diskLostAt{};
-  std::vector<HeldInput> heldUp;  // what waits while the machine is frozen
+  std::vector<DeferredInput> deferredInputs;  // what waits while the machine is frozen
   // Since when it reaches no majority of the controllers with a disk, in either direction, by cuts alone.
   std::optional<base::TimePoint> isolatedSince;
   std::unique_ptr<control::Controller> controller;
@@ -70,7 +70,7 @@
   std::unique_ptr<routing::Table> table;
   std::uint64_t lastView = 0;
   std::uint64_t lastRevision = 0;
-  schema::StateVersion lastStamp;
+  schema::StateVersion lastVersion;
 };
 
 class World {
@@ -135,7 +135,7 @@
   std::function<void(std::size_t, const control::Answer&)> onAnswer;
   // Called when a daemon takes over a state with another version.
   std::function<void(std::size_t, const schema::ControlState&)> onState;
-  std::optional<std::size_t> nodeAt(const settings::Endpoint& cohort) const;
+  std::optional<std::size_t> nodeAt(const settings::Endpoint& peerAddress) const;
   // Controllers, with a disk or without.
   std::vector<std::size_t> controlNodes() const;
 
@@ -152,7 +152,7 @@
   void perform(std::size_t i, router::RouterEffects& effects);
   void startLater(std::size_t i);
   void startCommit(std::size_t i);
-  void finishCommit(std::size_t i, std::uint64_t life);
+  void finishCommit(std::size_t i, std::uint64_t incarnation);
   void takeAnswer(std::size_t i, const control::Answer& answer);
   void closeCall(std::uint64_t number);
   void noteIsolation();
@@ -163,8 +163,8 @@
   std::deque<Acknowledged> acknowledged_;  // the newest first
   void checkConfirmations(std::size_t i, const net::Outbox& out);
   void checkIsolated(std::size_t i, const net::Outbox& out);
-  void onNode(std::size_t i, std::uint64_t life, Input input, std::function<void()> what);
-  void tickLoop(std::size_t i, std::uint64_t life);
+  void onNode(std::size_t i, std::uint64_t incarnation, Input input, std::function<void()> what);
+  void tickLoop(std::size_t i, std::uint64_t incarnation);
   void trace(std::size_t i,
              const std::vector<base::LogEvent>& events) const;  // to standard output, if INDIGOHILL_TRACE is set
   void check();
@@ -175,7 +175,7 @@
   void notePublished(std::size_t i);
   static std::optional<schema::StateVersion> versionOnDisk(const Node& node);
   std::size_t copiesOf(const schema::StateVersion& version) const;
-  std::optional<std::size_t> at(const settings::Endpoint& cohort) const;
+  std::optional<std::size_t> at(const settings::Endpoint& peerAddress) const;
 
   Shape shape_;
   std::mt19937_64 random_;
@@ -187,7 +187,7 @@
   struct PendingCall {
     control::OrderKind kind = control::OrderKind::Describe;
     std::size_t node = 0;
-    std::uint64_t life = 0;
+    std::uint64_t incarnation = 0;
     base::TimePoint sentAt;
     std::uint64_t epochWhenSent = 0;  // the newest epoch in which a primary had been active by then
     bool answered = false;
--- a/src/sim/worst_day.cpp
+++ b/src/sim/worst_day.cpp
@@ -29,7 +29,7 @@
   shape.controllers = core.controllers;
   shape.faultTolerance = core.faultTolerance;
   shape.zones = core.zones;
-  shape.relays = seed / std::size(kCores) % 5;
+  shape.observers = seed / std::size(kCores) % 5;
   shape.routers = 3 + seed / 7 % 6;
   shape.loss = 0.01 * static_cast<double>(seed % 3);
   shape.operatorWait = Millis(1000);
@@ -42,7 +42,7 @@
     : options_(options), shape_(shapeOf(options.seed)), world_(shape_), operators_(world_, {}) {
   ongoing_.resize(world_.size());
   lostUntil_.resize(world_.controllers());
-  lastTroubledAt_.assign(world_.size(), world_.now());
+  lastFaultAt_.assign(world_.size(), world_.now());
   losesAnswers_ = options.seed % 5 == 1;
   operators_.options().resendWithin = options.resendWithin;
   if (options.seed % 23 == 3) operators_.options().documentPadding = 20'000;
@@ -58,7 +58,7 @@
   if (wanted) fmt::print("{:>7} --- {}\n", base::toMs(world_.now()) - 3'600'000, text);
 }
 
-void WorstDay::noteTrouble(std::size_t node) { lastTroubledAt_[node] = world_.now(); }
+void WorstDay::noteFault(std::size_t node) { lastFaultAt_[node] = world_.now(); }
 
 // A core machine counts as lost while it is in trouble and until it has had the time to catch up.
 std::size_t WorstDay::lost(std::optional<std::size_t> besides) const {
@@ -83,16 +83,16 @@
 
 void WorstDay::endLater(std::size_t node, Millis delay, std::function<void()> end) {
   ++ongoing_[node];
-  noteTrouble(node);
+  noteFault(node);
   world_.after(delay, [this, node, end = std::move(end)] {
     end();
     --ongoing_[node];
-    noteTrouble(node);
+    noteFault(node);
     if (!isCore(node)) return;
     lostUntil_[node] = world_.now() + options_.bounds.catchUp;
     // The next loss comes at the earliest permitted moment, or a little later.
-    if (troubled_ && !oneIn(3))
-      world_.after(options_.bounds.catchUp + (oneIn(2) ? Millis(1) : between(1, 1500)), [this] { coreTrouble(); });
+    if (faulty_ && !oneIn(3))
+      world_.after(options_.bounds.catchUp + (oneIn(2) ? Millis(1) : between(1, 1500)), [this] { coreFault(); });
   });
 }
 
@@ -121,7 +121,7 @@
         world_.cut(outward ? node : other, outward ? other : node, is, false);
       else
         world_.cut(node, other, is);
-      noteTrouble(other);
+      noteFault(other);
     }
   };
   set(true);
@@ -130,100 +130,100 @@
   endLater(node, length, [set] { set(false); });
 }
 
-void WorstDay::begin(Trouble kind, std::size_t node, Millis length) {
+void WorstDay::begin(Fault kind, std::size_t node, Millis length) {
   static constexpr const char* kNames[] = {
       "kill",        "power off",   "wipe",      "replace",   "freeze",          "cut off",
       "cut one way", "disk stalls", "disk full", "disk slow", "rolling restart", "leaves for good"};
-  ++troubles_;
+  ++faults_;
   auto& machine = world_.node(node);
   note(fmt::format("{}: {} for {} ms", machine.name, kNames[static_cast<std::size_t>(kind)], length.count()));
   switch (kind) {
-    case Trouble::Kill:
+    case Fault::Kill:
       world_.kill(node);
       endLater(node, between(50, 1000), [this, node] { restart(node); });
       break;
-    case Trouble::PowerOff:
+    case Fault::PowerOff:
       world_.powerOff(node);
       endLater(node, length, [this, node] { restart(node); });
       break;
-    case Trouble::Wipe:
+    case Fault::Wipe:
       world_.wipe(node);
       endLater(node, length, [this, node] { restart(node); });
       break;
-    case Trouble::Replace:
+    case Fault::Replace:
       world_.replace(node);
       endLater(node, length, [this, node] { restart(node); });
       break;
-    case Trouble::Freeze: {
+    case Fault::Freeze: {
       if (!machine.alive || machine.frozen) break;
       world_.freeze(node);
       const auto order = static_cast<WakeOrder>(world_.random() % 3);
-      endLater(node, length, [this, node, order, life = machine.life] {
-        if (world_.node(node).life == life && world_.node(node).frozen) world_.thaw(node, order);
+      endLater(node, length, [this, node, order, incarnation = machine.incarnation] {
+        if (world_.node(node).incarnation == incarnation && world_.node(node).frozen) world_.thaw(node, order);
       });
       break;
     }
-    case Trouble::CutOff:
-    case Trouble::CutOneWay:
-      isolate(node, length, kind == Trouble::CutOneWay && options_.oneWayCuts);
+    case Fault::CutOff:
+    case Fault::CutOneWay:
+      isolate(node, length, kind == Fault::CutOneWay && options_.oneWayCuts);
       break;
-    case Trouble::DiskStall:
+    case Fault::DiskStall:
       machine.diskStalled = true;
       endLater(node, length, [this, node] { world_.node(node).diskStalled = false; });
       break;
-    case Trouble::DiskFull:
+    case Fault::DiskFull:
       machine.diskFull = true;
       endLater(node, length, [this, node] { world_.node(node).diskFull = false; });
       break;
-    case Trouble::DiskSlow:
+    case Fault::DiskSlow:
       machine.diskDelay = between(20, 400);
       endLater(node, length, [this, node] { world_.node(node).diskDelay = Millis(0); });
       break;
-    case Trouble::RollingRestart:
-    case Trouble::LeaveForGood:
+    case Fault::RollingRestart:
+    case Fault::LeaveForGood:
       world_.term(node);
-      restartOnceEnded(node, kind == Trouble::LeaveForGood && isCore(node), 0);
+      restartOnceEnded(node, kind == Fault::LeaveForGood && isCore(node), 0);
       break;
-    case Trouble::Count:
+    case Fault::Count:
       break;
   }
 }
 
 // One more loss, if the fault tolerance permits it now.
-void WorstDay::coreTrouble() {
-  if (!troubled_ || world_.broken()) return;
+void WorstDay::coreFault() {
+  if (!faulty_ || world_.broken()) return;
   const auto node = drawCore();
   if (lost(node) >= world_.losses() || ongoing_[node] > 1) return;
-  const auto kind = static_cast<Trouble>(world_.random() % static_cast<std::uint64_t>(Trouble::Count));
+  const auto kind = static_cast<Fault>(world_.random() % static_cast<std::uint64_t>(Fault::Count));
   begin(kind, node, oneIn(4) ? between(18000, 24000) : between(100, 6000));
 }
 
 // The loss of a zone, where the machines there are no more than may be lost.
-void WorstDay::zoneTrouble() {
+void WorstDay::zoneFault() {
   const auto& zone = world_.node(drawCore()).zone;
   std::vector<std::size_t> machines;
   for (std::size_t i = 0; i < world_.controllers(); ++i)
     if (world_.node(i).zone == zone) machines.push_back(i);
   if (lost() > 0 || machines.size() > world_.losses()) return;
-  const auto kind = static_cast<Trouble>(world_.random() % static_cast<std::uint64_t>(Trouble::Count));
+  const auto kind = static_cast<Fault>(world_.random() % static_cast<std::uint64_t>(Fault::Count));
   const auto length = between(100, 6000);
   for (const auto node : machines) begin(kind, node, length);
 }
 
-void WorstDay::edgeTrouble() {
+void WorstDay::edgeFault() {
   const auto others = world_.size() - world_.controllers();
   const auto node = world_.controllers() + world_.random() % others;
   if (ongoing_[node] > 0) return;
-  static constexpr Trouble kKinds[] = {Trouble::Kill,   Trouble::PowerOff,  Trouble::Freeze,
-                                       Trouble::CutOff, Trouble::CutOneWay, Trouble::RollingRestart};
+  static constexpr Fault kKinds[] = {Fault::Kill,   Fault::PowerOff,  Fault::Freeze,
+                                       Fault::CutOff, Fault::CutOneWay, Fault::RollingRestart};
   begin(kKinds[world_.random() % std::size(kKinds)], node, oneIn(4) ? between(18000, 24000) : between(100, 4000));
 }
 
 // Everything goes at once, with its disks: a kill, or a loss of power. The starts come in any order, one of them late.
 // As many machines as the fault tolerance permits may lose their disks in it.
-void WorstDay::wholeTrouble() {
-  if (!troubled_ || world_.broken()) return;
-  ++troubles_;
+void WorstDay::fleetFault() {
+  if (!faulty_ || world_.broken()) return;
+  ++faults_;
   const bool power = oneIn(2);
   std::set<std::size_t> wiped;
   if (oneIn(2) && lost() == 0)
@@ -246,7 +246,7 @@
 
 void WorstDay::exchangeSeeds() {
   if (!shape_.seedTurnover) return;
-  const bool relaysAlone = shape_.relays > 0 && oneIn(3);
+  const bool relaysAlone = shape_.observers > 0 && oneIn(3);
   const auto seedsForAll = world_.drawSeeds();
   const bool alike = oneIn(2);
   note(fmt::format("seeds exchanged{}", relaysAlone ? ", for relays alone" : ""));
@@ -254,14 +254,14 @@
     auto seeds = alike ? seedsForAll : world_.drawSeeds();
     if (relaysAlone) {
       seeds.clear();
-      for (std::size_t k = 0; k < std::min<std::size_t>(3, shape_.relays); ++k)
-        seeds.push_back(world_.node(world_.size() - 1 - k).cohort);
+      for (std::size_t k = 0; k < std::min<std::size_t>(3, shape_.observers); ++k)
+        seeds.push_back(world_.node(world_.size() - 1 - k).peerAddress);
     }
     world_.setSeeds(i, std::move(seeds));
   }
 }
 
-void WorstDay::operatorTrouble() {
+void WorstDay::operatorFault() {
   switch (world_.random() % 5) {
     case 0:
       operators_.storm(10 + world_.random() % 150, Millis(80));
@@ -275,7 +275,7 @@
     case 3:
       // A loss soon after a change was sent.
       operators_.change();
-      world_.after(between(1, 40), [this] { oneIn(3) ? wholeTrouble() : coreTrouble(); });
+      world_.after(between(1, 40), [this] { oneIn(3) ? fleetFault() : coreFault(); });
       break;
     default:
       // The machine that acknowledges next is lost right after it.
@@ -283,22 +283,22 @@
   }
 }
 
-void WorstDay::trouble() {
-  if (!troubled_ || world_.broken()) return;
+void WorstDay::fault() {
+  if (!faulty_ || world_.broken()) return;
   const auto kind = world_.random() % 16;
   if (kind < 6)
-    coreTrouble();
+    coreFault();
   else if (kind < 7)
-    zoneTrouble();
+    zoneFault();
   else if (kind < 11)
-    edgeTrouble();
+    edgeFault();
   else if (kind < 12)
-    wholeTrouble();
+    fleetFault();
   else if (kind < 14)
     exchangeSeeds();
   else
-    operatorTrouble();
-  world_.after(between(50, 4000), [this] { trouble(); });
+    operatorFault();
+  world_.after(between(50, 4000), [this] { fault(); });
 }
 
 // More than half of the core runs and is connected, and nothing has happened to any of it within contactMs.
@@ -306,7 +306,7 @@
   TimePoint since{};
   for (std::size_t i = 0; i < world_.controllers(); ++i) {
     if (ongoing_[i] > 0) return std::nullopt;
-    since = std::max(since, lastTroubledAt_[i] + options_.bounds.contact);
+    since = std::max(since, lastFaultAt_[i] + options_.bounds.contact);
   }
   if (since > world_.now()) return std::nullopt;
   return since;
@@ -319,7 +319,7 @@
   if (!settled || !open || world_.shape().answerLoss > 0) return;
   // Daemons outside the core that are in trouble hold an operator up by a second each.
   for (std::size_t i = 0; i < world_.size(); ++i)
-    if (ongoing_[i] > 0 || world_.now() - lastTroubledAt_[i] < options_.bounds.ackTimeout + options_.bounds.contact)
+    if (ongoing_[i] > 0 || world_.now() - lastFaultAt_[i] < options_.bounds.ackTimeout + options_.bounds.contact)
       return;
   if (world_.now() - std::max(*settled, *open) > options_.bounds.ackTimeout)
     world_.breakRule(
@@ -337,7 +337,7 @@
     const auto& state = router.router->publisher().state();
     // One that has started anew has until recoveryS to be ready for the first time.
     const auto patience = state ? options_.bounds.contact : options_.bounds.recovery;
-    if (world_.now() - lastTroubledAt_[i] < patience) continue;
+    if (world_.now() - lastFaultAt_[i] < patience) continue;
     if (!state && world_.now() - *settled + options_.bounds.contact < patience) continue;
     if ((state ? state->revision : 0) < newest)
       world_.breakRule(fmt::format("{} is in touch and has revision {}, {} was acknowledged {} ms ago", router.name,
@@ -354,7 +354,7 @@
 
 bool WorstDay::whole() const {
   if (!world_.active()) return false;
-  for (std::size_t i = 0; i < shape_.controllers + shape_.routers + shape_.relays; ++i) {
+  for (std::size_t i = 0; i < shape_.controllers + shape_.routers + shape_.observers; ++i) {
     const auto& daemon = const_cast<World&>(world_).node(i);
     if (!daemon.alive) return false;
     const auto& group = daemon.isController ? daemon.controller->group() : daemon.router->group();
@@ -366,7 +366,7 @@
 
 // Troubles have ended: the fleet is whole within recoveryS, whatever the seeds are, and takes orders in time.
 void WorstDay::calm() {
-  troubled_ = false;
+  faulty_ = false;
   loseOnAcknowledgement_ = false;
   world_.setAnswerLoss(0);
   const auto over = [this] {
@@ -386,22 +386,22 @@
     if (!loseOnAcknowledgement_) return;
     if (oneIn(3)) {
       loseOnAcknowledgement_ = false;
-      wholeTrouble();
+      fleetFault();
       return;
     }
     const auto primary = world_.active();
     if (!primary || lost(*primary) >= world_.losses()) return;
     loseOnAcknowledgement_ = false;
-    begin(oneIn(2) ? Trouble::Wipe : Trouble::Replace, *primary, between(100, 6000));
+    begin(oneIn(2) ? Fault::Wipe : Fault::Replace, *primary, between(100, 6000));
   };
   operators_.start();
   world_.after(kWatch, [this] { watch(); });
   world_.run(Millis(5000));
   for (std::size_t round = 0; round < options_.rounds && !world_.broken(); ++round) {
-    troubled_ = true;
+    faulty_ = true;
     if (losesAnswers_) world_.setAnswerLoss(0.7);
-    for (int i = 0; i < 2; ++i) trouble();
-    world_.run(options_.troubled);
+    for (int i = 0; i < 2; ++i) fault();
+    world_.run(options_.faultyPeriod);
     calm();
   }
   operators_.stop();
@@ -413,7 +413,7 @@
   result.simulated = std::chrono::duration_cast<Millis>(world_.now().time_since_epoch()) - Millis(3'600'000);
   result.orders = operators_.sent();
   result.acknowledged = operators_.acknowledged();
-  result.troubles = troubles_;
+  result.faults = faults_;
   return result;
 }
 
--- a/src/sim/worst_day.hpp
+++ b/src/sim/worst_day.hpp
@@ -26,7 +26,7 @@
 struct DayOptions {
   std::uint64_t seed = 1;
   std::size_t rounds = 3;
-  base::Millis troubled{25000};         // length of the troubled part of a round
+  base::Millis faultyPeriod{25000};     // length of the troubled part of a round
   std::size_t resendWithin = SIZE_MAX;  // how many of the newest orders are sent once more
   bool oneWayCuts = true;               // without: such cuts go both ways
   DayBounds bounds{};
@@ -36,7 +36,7 @@
   std::optional<std::string> broken;  // the rule, with seed and time
   std::string places;                 // where each daemon stood then
   base::Millis simulated{0};
-  std::size_t orders = 0, acknowledged = 0, troubles = 0;
+  std::size_t orders = 0, acknowledged = 0, faults = 0;
 };
 
 // The fleet that a seed stands for: one or two losses, 3 to 6 controllers with a disk, relays and routers.
@@ -48,7 +48,7 @@
   DayResult play();
 
  private:
-  enum class Trouble : std::uint8_t {
+  enum class Fault : std::uint8_t {
     Kill,
     PowerOff,
     Wipe,
@@ -64,25 +64,25 @@
     Count
   };
 
-  void trouble();
-  void coreTrouble();
-  void zoneTrouble();
-  void edgeTrouble();
-  void wholeTrouble();
-  void begin(Trouble kind, std::size_t node, base::Millis length);
+  void fault();
+  void coreFault();
+  void zoneFault();
+  void edgeFault();
+  void fleetFault();
+  void begin(Fault kind, std::size_t node, base::Millis length);
   void endLater(std::size_t node, base::Millis delay, std::function<void()> end);
   void restartOnceEnded(std::size_t node, bool asNew, int looks);
   void restart(std::size_t node);
   void isolate(std::size_t node, base::Millis length, bool oneWay);
   void exchangeSeeds();
-  void operatorTrouble();
+  void operatorFault();
   void calm();
   void watch();
   void watchOrders();
   void watchRouters();
 
   bool isCore(std::size_t node) const { return node < world_.controllers(); }
-  void noteTrouble(std::size_t node);
+  void noteFault(std::size_t node);
   std::size_t lost(std::optional<std::size_t> besides = std::nullopt) const;
   std::size_t drawCore();
   base::Millis between(std::int64_t low, std::int64_t high);
@@ -96,11 +96,11 @@
   Shape shape_;
   World world_;
   Operators operators_;
-  bool troubled_ = false, losesAnswers_ = false, loseOnAcknowledgement_ = false;
-  std::size_t troubles_ = 0;
-  std::vector<std::size_t> ongoing_;             // troubles under way at each node
-  std::vector<base::TimePoint> lostUntil_;       // of core machines
-  std::vector<base::TimePoint> lastTroubledAt_;  // of all machines
+  bool faulty_ = false, losesAnswers_ = false, loseOnAcknowledgement_ = false;
+  std::size_t faults_ = 0;
+  std::vector<std::size_t> ongoing_;          // troubles under way at each node
+  std::vector<base::TimePoint> lostUntil_;    // of core machines
+  std::vector<base::TimePoint> lastFaultAt_;  // of all machines
 };
 
 }  // namespace indigohill::sim
--- a/tests/fleet.hpp
+++ b/tests/fleet.hpp
@@ -26,10 +26,10 @@
  public:
   using Micros = std::chrono::microseconds;
   struct Machine {
-    settings::Endpoint cohort;
+    settings::Endpoint peerAddress;
     std::string name, zone;
     bool isController = false, alive = false;
-    std::uint64_t life = 0, sentBytes = 0;
+    std::uint64_t incarnation = 0, sentBytes = 0;
     std::map<control::Slot, std::string> disk;
     std::unique_ptr<control::Controller> controller;
     std::unique_ptr<router::RouterCore> router;
@@ -45,9 +45,9 @@
       m.isController = i < shape.controllers;
       m.name = "edge-" + std::to_string(i);
       m.zone = "zone-" + std::to_string(i % 3);
-      m.cohort = {0x0a000001u + static_cast<std::uint32_t>(i),
-                  static_cast<std::uint16_t>(m.isController ? 7001 : 7000)};
-      byAddress_[m.cohort] = i;
+      m.peerAddress = {0x0a000001u + static_cast<std::uint32_t>(i),
+                       static_cast<std::uint16_t>(m.isController ? 7001 : 7000)};
+      byAddress_[m.peerAddress] = i;
       machines_.push_back(std::move(m));
     }
     for (std::size_t i = 0; i < shape.runners; ++i)
@@ -75,12 +75,12 @@
   void start(std::size_t i) {
     auto& m = machines_[i];
     m.alive = true;
-    ++m.life;
+    ++m.incarnation;
     m.outFree = m.inFree = now_;
     std::vector<settings::Endpoint> seeds, controls;
     for (std::size_t c = 0; c < std::min<std::size_t>(shape_.controllers, 3); ++c) {
-      seeds.push_back(machines_[c].cohort);
-      controls.push_back({machines_[c].cohort.ip, 8000});
+      seeds.push_back(machines_[c].peerAddress);
+      controls.push_back({machines_[c].peerAddress.ip, 8000});
     }
     if (m.isController) {
       std::vector<control::DiskWrite> writes;
@@ -89,17 +89,17 @@
             const auto found = m.disk.find(slot);
             return found == m.disk.end() ? std::nullopt : std::optional(found->second);
           },
-          m.life == 1, controls, {m.cohort.ip, 8000}, random_(), writes);
+          m.incarnation == 1, controls, {m.peerAddress.ip, 8000}, random_(), writes);
       for (auto& write : writes) m.disk[write.slot] = write.bytes;
       m.controller =
-          std::make_unique<control::Controller>(control::Controller::Self{m.name, m.zone, m.cohort},
+          std::make_unique<control::Controller>(control::Controller::Self{m.name, m.zone, m.peerAddress},
                                                 std::move(identity), seeds, control::Controller::Options{}, random_());
     } else {
       m.router =
-          std::make_unique<router::RouterCore>(router::RouterCore::Self{m.name, m.zone, m.cohort}, seeds,
+          std::make_unique<router::RouterCore>(router::RouterCore::Self{m.name, m.zone, m.peerAddress}, seeds,
                                                membership::Times{}, feed::Times{}, base::Millis(4000), random_(), now_);
     }
-    after(Micros(random_() % 100'000), [this, i, life = m.life] { tick(i, life); });
+    after(Micros(random_() % 100'000), [this, i, incarnation = m.incarnation] { tick(i, incarnation); });
   }
   void kill(std::size_t i) {
     auto& m = machines_[i];
@@ -183,9 +183,9 @@
 
   void after(Micros delay, std::function<void()> what) { events_.push({now_ + delay, ++order_, std::move(what)}); }
 
-  void tick(std::size_t i, std::uint64_t life) {
+  void tick(std::size_t i, std::uint64_t incarnation) {
     auto& m = machines_[i];
-    if (!m.alive || m.life != life) return;
+    if (!m.alive || m.incarnation != incarnation) return;
     if (m.isController) {
       control::Effects effects;
       m.controller->tick(now_, effects);
@@ -193,9 +193,9 @@
       if (m.controller->isListReadDue(now_)) {
         // Two calls for each hundred runners, some milliseconds each.
         const auto askedAt = now_;
-        after(Micros(4000 * (1 + platform.size() / 50)), [this, i, life, askedAt] {
+        after(Micros(4000 * (1 + platform.size() / 50)), [this, i, incarnation, askedAt] {
           auto& reader = machines_[i];
-          if (!reader.alive || reader.life != life) return;
+          if (!reader.alive || reader.incarnation != incarnation) return;
           control::Effects after;
           reader.controller->onListRead(platform, askedAt, now_, after);
           perform(i, after);
@@ -206,14 +206,14 @@
       m.router->tick(now_, effects);
       send(i, effects.out);
     }
-    after(base::Millis(m.isController ? 100 : 200), [this, i, life] { tick(i, life); });
+    after(base::Millis(m.isController ? 100 : 200), [this, i, incarnation] { tick(i, incarnation); });
   }
 
   void perform(std::size_t i, control::Effects& effects) {
     for (auto& write : effects.writes)
-      after(Micros(4000), [this, i, life = machines_[i].life, write] {
+      after(Micros(4000), [this, i, incarnation = machines_[i].incarnation, write] {
         auto& m = machines_[i];
-        if (!m.alive || m.life != life) return;
+        if (!m.alive || m.incarnation != incarnation) return;
         m.disk[write.slot] = write.bytes;
         control::Effects done;
         m.controller->onDiskWrite(write.token, true, now_, done);
@@ -238,7 +238,8 @@
       if (!message || !(*message == item.message)) {
         auto encoded = net::encode(item.message);
         auto decoded = net::decode(encoded);
-        if (const auto* bad = base::errorIn(decoded)) throw std::logic_error(nameOf(item.message) + ": " + bad->message);
+        if (const auto* bad = base::errorIn(decoded))
+          throw std::logic_error(nameOf(item.message) + ": " + bad->message);
         bytes = encoded.size() + 28;
         message = std::make_shared<const schema::Message>(std::get<0>(std::move(decoded)));
       }
@@ -260,9 +261,10 @@
       Micros way(500 + random_() % 200);
       if (!datagram) way += lost ? Micros(201'500) : Micros(1500);  // a connection is opened; a lost part is repeated
       to.inFree = std::max(to.inFree, sender.outFree + way) + over(to);
-      events_.push({to.inFree, ++order_, [this, i = found->second, life = to.life, message, self = sender.cohort] {
+      events_.push({to.inFree, ++order_,
+                    [this, i = found->second, incarnation = to.incarnation, message, self = sender.peerAddress] {
                       auto& m = machines_[i];
-                      if (!m.alive || m.life != life) return;
+                      if (!m.alive || m.incarnation != incarnation) return;
                       if (m.isController) {
                         control::Effects effects;
                         m.controller->receive(*message, self, now_, effects);
--- a/tests/test_control.cpp
+++ b/tests/test_control.cpp
@@ -97,7 +97,7 @@
     }
   }
   void restart(std::size_t i) {
-    ++nodes_[i].life;
+    ++nodes_[i].incarnation;
     nodes_[i].frozen = false;
     nodes_[i].held.clear();
     start(i);
@@ -141,7 +141,7 @@
     std::string name;
     std::unique_ptr<control::Replica> replica;
     std::map<control::Slot, std::string> disk;
-    std::uint64_t life = 0;
+    std::uint64_t incarnation = 0;
     bool cutOff = false, frozen = false;
     std::vector<std::function<void()>> held;
     std::optional<base::TimePoint> leaseUntil;
@@ -169,11 +169,11 @@
     const control::Replica::Self self{node.name, address(i), (nodes_.size() - 1) / 2};
     node.replica = std::make_unique<control::Replica>(self, loaded, control::ReplicaTimes{}, random_());
     node.published = {};
-    after(Millis(1 + draw(100)), [this, i, life = node.life] { tick(i, life); });
+    after(Millis(1 + draw(100)), [this, i, incarnation = node.incarnation] { tick(i, incarnation); });
   }
 
-  void tick(std::size_t i, std::uint64_t life) {
-    if (nodes_[i].life != life) return;
+  void tick(std::size_t i, std::uint64_t incarnation) {
+    if (nodes_[i].incarnation != incarnation) return;
     onNode(i, [this, i] {
       control::ClusterView view;
       view.leaseUntil = nodes_[i].leaseUntil.value_or(now_ + Millis(3'600'000));
@@ -184,7 +184,7 @@
                                       address(j).port, 1, j + 1});
       step(i, [&](auto& effects) { replica(i).tick(now_, view, effects); });
     });
-    after(kTick, [this, i, life] { tick(i, life); });
+    after(kTick, [this, i, incarnation] { tick(i, incarnation); });
   }
 
   // Runs it on the replica, later if that is frozen, never if it has restarted meanwhile.
@@ -200,11 +200,12 @@
     what(effects);
     auto& node = nodes_[i];
     for (auto& write : effects.writes)
-      after(Millis(1 + draw(15)), [this, i, life = node.life, write] {
-        if (nodes_[i].life != life) return;
+      after(Millis(1 + draw(15)), [this, i, incarnation = node.incarnation, write] {
+        if (nodes_[i].incarnation != incarnation) return;
         nodes_[i].disk[write.slot] = write.bytes;
-        onNode(i,
-               [this, i, write] { step(i, [&](auto& after) { replica(i).onDiskWrite(write.token, true, now_, after); }); });
+        onNode(i, [this, i, write] {
+          step(i, [&](auto& after) { replica(i).onDiskWrite(write.token, true, now_, after); });
+        });
       });
     if (const auto& state = replica(i).published(); state && node.published < state->version) {
       node.published = state->version;
@@ -224,8 +225,8 @@
                                                                                  : 1;
       for (int copy = 0; copy < copies; ++copy) {
         const Millis delay(1 + draw(chance(conditions_.delayed) ? 3000 : 20));
-        after(delay, [this, from, to, life = nodes_[to].life, message = outgoing.message] {
-          if (nodes_[from].cutOff || nodes_[to].cutOff || nodes_[to].life != life) return;
+        after(delay, [this, from, to, incarnation = nodes_[to].incarnation, message = outgoing.message] {
+          if (nodes_[from].cutOff || nodes_[to].cutOff || nodes_[to].incarnation != incarnation) return;
           onNode(to, [this, from, to, message] {
             step(to, [&](auto& effects) { replica(to).receive(message, address(from), now_, effects); });
           });
--- a/tests/test_feed.cpp
+++ b/tests/test_feed.cpp
@@ -76,7 +76,7 @@
 
 Test(feed_world, a_controller_that_stood_still_confirms_nothing_before_it_has_asked_anew) {
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
-    sim::World world({.controllers = 3, .seed = seed, .relays = 1});
+    sim::World world({.controllers = 3, .seed = seed, .observers = 1});
     Operator op{world};
     bringUp(world, op);
     const auto primary = *world.active();
@@ -101,7 +101,7 @@
 Test(feed_world, what_is_confirmed_was_the_newest_then_through_freezes_cuts_and_restarts) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     sim::World world(
-        {.controllers = 3 + 2 * (seed % 2), .seed = seed, .loss = seed % 3 == 0 ? 0.05 : 0.01, .relays = 2});
+        {.controllers = 3 + 2 * (seed % 2), .seed = seed, .loss = seed % 3 == 0 ? 0.05 : 0.01, .observers = 2});
     Operator op{world};
     Changes changes{world, op};
     bringUp(world, op);
@@ -143,7 +143,7 @@
 // A relay that no longer hears the primary, one way or both, must not hold its zone's routers back.
 Test(feed_world, routers_in_touch_have_a_change_in_time_though_their_relay_lost_the_primary) {
   for (std::uint64_t seed = 1; seed <= 12; ++seed) {
-    sim::World world({.controllers = 3, .routers = 6, .seed = seed, .loss = 0, .relays = 3});
+    sim::World world({.controllers = 3, .routers = 6, .seed = seed, .loss = 0, .observers = 3});
     Operator op{world};
     bringUp(world, op);
     world.run(Millis(2000));
--- a/tests/test_health.cpp
+++ b/tests/test_health.cpp
@@ -240,11 +240,11 @@
     for (const auto& [to, said] : fleet.tables[i]->takeHealthReports(fleet.now)) {
       heard += net::encode(said).size() * (to != 0 ? 1 : fleet.tables.size() - 1);
       if (to != 0) {
-        fleet.tables[to - 1]->heard(said, fleet.now);
+        fleet.tables[to - 1]->receive(said, fleet.now);
         continue;
       }
       for (std::size_t j = 0; j < fleet.tables.size(); ++j)
-        if (j != i) fleet.tables[j]->heard(said, fleet.now);
+        if (j != i) fleet.tables[j]->receive(said, fleet.now);
     }
   return heard;
 }
--- a/tests/test_kvindex.cpp
+++ b/tests/test_kvindex.cpp
@@ -327,7 +327,7 @@
     auto decision = table.decide(request, now);
     cr_assert(std::holds_alternative<routing::PassTo>(decision), "not served");
     auto& to = std::get<routing::PassTo>(decision);
-    to.admission.begun(Millis(50));
+    to.admission.onFirstToken(Millis(50));
     return to.instanceId;
   }
 
@@ -387,12 +387,12 @@
 Test(choice, long_shared_parts_are_told_once_and_within_the_bound) {
   Chooser one(40), two(40);
   std::vector<schema::LoadNotice> told;
-  one.table.setTell([&](const schema::LoadNotice& d) { told.push_back(d); });
+  one.table.setNoticeSender([&](const schema::LoadNotice& d) { told.push_back(d); });
   const auto where = one.serve(one.ask(5));
   one.now += Millis(1000);
   one.serve(one.ask(5, 2));
   cr_assert(told.size() == 1 && told[0].instanceId == where && told[0].parts.size() == 2);
-  two.table.heard(told[0], two.now);
+  two.table.receive(told[0], two.now);
   cr_assert_eq(two.table.indexState().blocks, 2u, "the request's own part is not told");
   cr_assert_eq(two.serve(two.ask(5, 3)), where);
   told.clear();
--- a/tests/test_losses.cpp
+++ b/tests/test_losses.cpp
@@ -32,8 +32,8 @@
   static const sim::Shape shapes[] = {
       {.controllers = 3, .routers = 3, .faultTolerance = 1},
       {.controllers = 6, .routers = 3, .faultTolerance = 2, .zones = 3},
-      {.controllers = 5, .routers = 3, .faultTolerance = 2, .relays = 5},
-      {.controllers = 4, .routers = 3, .faultTolerance = 1, .relays = 4},
+      {.controllers = 5, .routers = 3, .faultTolerance = 2, .observers = 5},
+      {.controllers = 4, .routers = 3, .faultTolerance = 1, .observers = 4},
       {.controllers = 6, .routers = 3, .faultTolerance = 1, .zones = 3},
       {.controllers = 8, .routers = 3, .faultTolerance = 2, .zones = 4},
       {.controllers = 8, .routers = 3, .faultTolerance = 3, .zones = 4},
@@ -146,11 +146,11 @@
 }
 
 Test(losses, relays_send_operators_on_and_keep_nothing) {
-  sim::World world({.controllers = 3, .routers = 2, .seed = 3, .relays = 3});
+  sim::World world({.controllers = 3, .routers = 2, .seed = 3, .observers = 3});
   Operator op{world};
   bringUp(world, op);
   for (std::size_t i = 0; i < world.size(); ++i) {
-    if (!world.node(i).isRelay) continue;
+    if (!world.node(i).isObserver) continue;
     int status = 0;
     world.order(i, control::OrderKind::Replace, 1, document(7), [&](const auto& a) { status = a.status; });
     cr_assert(world.runUntil(Millis(2000), [&] { return status != 0; }));
--- a/tests/test_membership.cpp
+++ b/tests/test_membership.cpp
@@ -19,7 +19,7 @@
 constexpr std::size_t kStorage = 3, kRouters = 4, kRelays = 3;
 
 sim::Shape withRelays(std::uint64_t seed) {
-  return {.controllers = kStorage, .routers = kRouters, .seed = seed, .relays = kRelays};
+  return {.controllers = kStorage, .routers = kRouters, .seed = seed, .observers = kRelays};
 }
 
 // The nodes of one kind, in the order in which sim::World numbers them.
--- a/tests/test_parts.cpp
+++ b/tests/test_parts.cpp
@@ -75,7 +75,7 @@
   cr_assert(s.bootstrap);
   cr_assert_eq(s.seedNodes.size(), 2u);
   cr_assert_eq(settings::text(s.seedNodes[1]), "10.0.0.2:8000");
-  cr_assert_eq(settings::cohortPort(s, true), 7001);
+  cr_assert_eq(settings::peerPort(s, true), 7001);
   cr_assert_eq(settings::missingFor(s, "router"), "");
 }
 
--- a/tests/test_rollout.cpp
+++ b/tests/test_rollout.cpp
@@ -191,11 +191,11 @@
 }
 
 Test(rollout, versions_told_by_answers_and_events) {
-  cr_assert(rollout::parseVersions("3").otherThan(4) && !rollout::parseVersions(" 3 ").otherThan(3));
-  cr_assert(rollout::parseVersions("3,4").otherThan(3) && !rollout::parseVersions("3, 3").otherThan(3));
+  cr_assert(rollout::parseVersions("3").differsFrom(4) && !rollout::parseVersions(" 3 ").differsFrom(3));
+  cr_assert(rollout::parseVersions("3,4").differsFrom(3) && !rollout::parseVersions("3, 3").differsFrom(3));
   // What tells nothing rejects nothing.
   for (const auto* text : {"", "x", "3x", ",", "3,x"})
-    cr_assert(!rollout::parseVersions(text).otherThan(3), "%s", text);
+    cr_assert(!rollout::parseVersions(text).differsFrom(3), "%s", text);
   const auto never = [](auto, auto) { return false; };
   const std::string one = "id: 1\ndata: a\n\n", changes = "indigohill-weight-versions: 2\nid: 2\ndata: b\n\n";
   std::optional<std::uint64_t> version = 1;
--- a/tests/test_routing.cpp
+++ b/tests/test_routing.cpp
@@ -197,10 +197,10 @@
   cold.warmupLeftMs = 5000;
   auto snapshot = std::make_shared<routing::RoutingSnapshot>(*listOf({cold}, 1));
   set.update(snapshot, kStart);
-  cr_assert(set.find("a")->coldUntil == kStart + Millis(5000));
+  cr_assert(set.find("a")->warmupUntil == kStart + Millis(5000));
   // Another view with the list of before tells nothing new of the runner.
   set.update(std::make_shared<routing::RoutingSnapshot>(*snapshot), kStart + Millis(1000));
-  cr_assert(set.find("a")->coldUntil == kStart + Millis(5000));
+  cr_assert(set.find("a")->warmupUntil == kStart + Millis(5000));
 }
 
 Test(prefill_speed, short_prompts_are_left_out_and_the_rest_is_averaged) {
--- a/tests/test_worst_days.cpp
+++ b/tests/test_worst_days.cpp
@@ -99,7 +99,7 @@
 Test(worst_days, a_machine_cut_off_for_twenty_seconds_gives_no_clear_answer) {
   for (std::uint64_t seed = 1; seed <= 12; ++seed) {
     sim::World world(
-        {.controllers = 3 + seed % 2, .routers = 5, .seed = seed, .relays = 2, .operatorWait = Millis(1000)});
+        {.controllers = 3 + seed % 2, .routers = 5, .seed = seed, .observers = 2, .operatorWait = Millis(1000)});
     Operator op{world};
     bringUp(world, op);
     const auto copies = world.copies();
@@ -196,8 +196,12 @@
 Test(worst_days, operators_side_by_side_are_answered_by_call_and_of_one_mind) {
   std::size_t acknowledged = 0;
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
-    sim::World world(
-        {.controllers = 3, .routers = 3, .seed = seed, .relays = 1, .answerLoss = 0.7, .operatorWait = Millis(1000)});
+    sim::World world({.controllers = 3,
+                      .routers = 3,
+                      .seed = seed,
+                      .observers = 1,
+                      .answerLoss = 0.7,
+                      .operatorWait = Millis(1000)});
     sim::Operators operators(world, {.parallel = 8, .pause = Millis(150), .onceOnly = 0.2, .resendOld = 0.2});
     world.runUntil(Millis(6000), [&] { return world.active().has_value(); });
     operators.start();
@@ -233,7 +237,7 @@
 // earliest moment that the fault tolerance permits, and one change is acknowledged in between.
 Test(worst_days, losses_in_succession_cost_nothing) {
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
-    sim::World world({.controllers = 3 + seed % 2, .routers = 3, .seed = seed, .relays = seed % 3});
+    sim::World world({.controllers = 3 + seed % 2, .routers = 3, .seed = seed, .observers = seed % 3});
     Operator op{world};
     bringUp(world, op);
     for (int loss = 0; loss < 6; ++loss) {
@@ -379,7 +383,7 @@
 Test(worst_days, a_restart_amid_hundreds_of_changes_loses_none) {
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
     sim::World world(
-        {.controllers = 3 + seed % 2, .routers = 3, .seed = seed, .relays = 1, .operatorWait = Millis(1000)});
+        {.controllers = 3 + seed % 2, .routers = 3, .seed = seed, .observers = 1, .operatorWait = Millis(1000)});
     sim::Operators operators(world, {.parallel = 2});
     world.runUntil(Millis(6000), [&] { return world.active().has_value(); });
     operators.start();
@@ -417,11 +421,11 @@
 // and have a view before any of the seeds has started.
 Test(worst_days, seeds_that_do_not_vote_and_start_last_are_found) {
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
-    sim::World world({.controllers = 3, .routers = 4, .seed = seed, .relays = 3, .seedTurnover = true});
+    sim::World world({.controllers = 3, .routers = 4, .seed = seed, .observers = 3, .seedTurnover = true});
     Operator op{world};
     bringUp(world, op);
     std::vector<indigohill::settings::Endpoint> relays;
-    for (std::size_t i = world.size() - 3; i < world.size(); ++i) relays.push_back(world.node(i).cohort);
+    for (std::size_t i = world.size() - 3; i < world.size(); ++i) relays.push_back(world.node(i).peerAddress);
     for (std::size_t i = 0; i < world.size(); ++i) world.powerOff(i);
     for (std::size_t i = 0; i < world.size(); ++i) world.setSeeds(i, relays);
     for (std::size_t i = 0; i < world.controllers(); ++i) world.start(i);
@@ -437,7 +441,7 @@
 // others and hears nothing.
 Test(worst_days, a_relay_that_is_heard_and_hears_nothing_holds_up_no_founding) {
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
-    sim::World world({.controllers = 3, .routers = 3, .seed = seed, .relays = 2});
+    sim::World world({.controllers = 3, .routers = 3, .seed = seed, .observers = 2});
     Operator op{world};
     bringUp(world, op);
     const auto relay = world.size() - 1;
--- a/tools/benchchoice.cpp
+++ b/tools/benchchoice.cpp
@@ -68,7 +68,7 @@
     auto decision = table.decide(request, now);
     const auto chosen = cpuUs();
     if (auto* to = std::get_if<routing::PassTo>(&decision)) {
-      to->admission.begun(base::Millis(60));
+      to->admission.onFirstToken(base::Millis(60));
       ++served;
     }
     recording += cpuUs() - chosen;
--- a/tools/worstdays.cpp
+++ b/tools/worstdays.cpp
@@ -1,4 +1,4 @@
-// Plays simulated days of troubles, one for each seed, and prints the seed and the broken rule of each that fails.
+// Plays simulated days of faults, one for each seed, and prints the seed and the broken rule of each that fails.
 //   worstdays FIRST LAST [ROUNDS [RESENT [no-one-way-cuts]]]
 // RESENT is how many of the newest orders may be sent once more; without it all.
 // INDIGOHILL_TRACE=1 shows what every daemon did.
@@ -17,11 +17,11 @@
   const auto rounds = argc > 3 ? number(3) : 3;
   const auto resent = argc > 4 ? number(4) : SIZE_MAX;
   const bool oneWayCuts = argc <= 5;
-  std::size_t days = 0, failures = 0, orders = 0, acknowledged = 0, troubles = 0;
+  std::size_t days = 0, failures = 0, orders = 0, acknowledged = 0, faults = 0;
   double hours = 0;
   const auto report = [&] {
     fmt::print("{} days, {:.1f} simulated hours, {} troubles, {} orders of which {} acknowledged, {} failures\n", days,
-               hours, troubles, orders, acknowledged, failures);
+               hours, faults, orders, acknowledged, failures);
     std::fflush(stdout);
   };
   constexpr std::size_t kReportEach = 50;
@@ -32,7 +32,7 @@
     hours += static_cast<double>(result.simulated.count()) / 3'600'000;
     orders += result.orders;
     acknowledged += result.acknowledged;
-    troubles += result.troubles;
+    faults += result.faults;
     if (result.broken) {
       ++failures;
       fmt::print("{}\n", *result.broken);
