--- a/src/base/log.cpp
+++ b/src/base/log.cpp
@@ -42,15 +42,15 @@
 
 std::string quoted(std::string_view text) {
   std::string out = "\"";
-  for (const char c : text) {
-    const auto u = static_cast<unsigned char>(c);
-    if (c == '"' || c == '\\') {
+  for (const char character : text) {
+    const auto code = static_cast<unsigned char>(character);
+    if (character == '"' || character == '\\') {
       out += '\\';
-      out += c;
-    } else if (u < 0x20) {
-      out += fmt::format("\\u{:04x}", u);
+      out += character;
+    } else if (code < 0x20) {
+      out += fmt::format("\\u{:04x}", code);
     } else {
-      out += c;
+      out += character;
     }
   }
   return out + "\"";
--- a/src/cli/controller_daemon.cpp
+++ b/src/cli/controller_daemon.cpp
@@ -65,22 +65,22 @@
   }
 
  private:
-  static control::Controller::Options optionsOf(const settings::Settings& s) {
+  static control::Controller::Options optionsOf(const settings::Settings& settings) {
     control::Controller::Options options;
-    options.group = groupTimes(s);
-    options.feed = feedTimes(s);
-    options.listReadInterval = runners::listReadInterval(s, 1);
-    options.gracePeriod = s.gracePeriodS;
+    options.group = groupTimes(settings);
+    options.feed = feedTimes(settings);
+    options.listReadInterval = runners::listReadInterval(settings, 1);
+    options.gracePeriod = settings.gracePeriodS;
     // Each zone may be lost with the copy and the vote that it holds; voters and copies are spread over zones.
-    options.faultTolerance = std::max<std::size_t>({1, s.machines, s.zones});
+    options.faultTolerance = std::max<std::size_t>({1, settings.machines, settings.zones});
     // What goes wrong with a write must be mended well within the time that an order may take.
-    options.replica.writeTimeout = std::min(options.replica.writeTimeout, s.ackTimeoutMs * 3 / 10);
-    options.replica.placementWait = std::min(options.replica.placementWait, s.ackTimeoutMs * 3 / 8);
-    options.replica.orderTimeout = std::min(options.replica.orderTimeout, s.ackTimeoutMs * 7 / 8);
+    options.replica.writeTimeout = std::min(options.replica.writeTimeout, settings.ackTimeoutMs * 3 / 10);
+    options.replica.placementWait = std::min(options.replica.placementWait, settings.ackTimeoutMs * 3 / 8);
+    options.replica.orderTimeout = std::min(options.replica.orderTimeout, settings.ackTimeoutMs * 7 / 8);
     // A machine that was replaced by an empty one counts as lost only for `catchUpS` after the newcomer's start: by
     // then the voter that is gone must have been suspected, exchanged, and the record agreed on.
     options.replica.voterReplacementDelay =
-        std::clamp(s.catchUpS - options.group.suspicionTimeout - kAgreement, kMinVoterReplacementDelay,
+        std::clamp(settings.catchUpS - options.group.suspicionTimeout - kAgreement, kMinVoterReplacementDelay,
                    options.replica.voterReplacementDelay);
     options.replica.newcomerWindow = options.group.suspicionTimeout + kAgreement;
     return options;
--- a/src/cli/controller_disk.cpp
+++ b/src/cli/controller_disk.cpp
@@ -15,19 +15,19 @@
 constexpr std::uint64_t kMebibyte = 1u << 20;
 
 // Room for each of the two snapshot files; LMDB wants about three times what it holds.
-std::uint64_t mapBytes(const settings::Settings& s) {
-  return std::clamp(s.diskMb * kMebibyte / 4, 4 * kMebibyte, 32 * kMebibyte);
+std::uint64_t mapBytes(const settings::Settings& settings) {
+  return std::clamp(settings.diskMb * kMebibyte / 4, 4 * kMebibyte, 32 * kMebibyte);
 }
 
 void retry(const std::function<bool()>& attempt) {
   while (!attempt()) std::this_thread::sleep_for(kRetry);
 }
 
-std::unique_ptr<store::Store> openStore(const settings::Settings& s) {
+std::unique_ptr<store::Store> openStore(const settings::Settings& settings) {
   std::unique_ptr<store::Store> out;
   int tries = 0;
   retry([&] {
-    auto opened = store::Store::open(s.dataDirectory, mapBytes(s));
+    auto opened = store::Store::open(settings.dataDirectory, mapBytes(settings));
     if (const auto* bad = base::errorIn(opened)) {
       if (tries++ % kTriesLogged == 0) base::logError(base::LogEvent("store_open_failed").with("error", bad->message));
       return false;
--- a/src/cli/controller_status.cpp
+++ b/src/cli/controller_status.cpp
@@ -13,25 +13,25 @@
   boost::json::object out;
   out["voter"] = replica.voterId();
   out["active"] = replica.active(now);
-  if (const auto& r = replica.record()) {
-    out["epoch"] = r->epoch;
-    out["primary"] = r->primary;
-    out["backups"] = boost::json::value_from(r->backups);
-    out["voters"] = boost::json::value_from(r->voters);
+  if (const auto& record = replica.record()) {
+    out["epoch"] = record->epoch;
+    out["primary"] = record->primary;
+    out["backups"] = boost::json::value_from(record->backups);
+    out["voters"] = boost::json::value_from(record->voters);
   }
-  if (const auto& f = source.state()) {
-    out["revision"] = f->revision;
-    out["evacuated"] = boost::json::value_from(f->evacuated);
-    out["rollouts"] = boost::json::parse(rollout::status(f->rollouts, source.runners()));
+  if (const auto& state = source.state()) {
+    out["revision"] = state->revision;
+    out["evacuated"] = boost::json::value_from(state->evacuated);
+    out["rollouts"] = boost::json::parse(rollout::status(state->rollouts, source.runners()));
   }
   out["runners"] = source.runners().size();
   out["lease"] = group.leaseHeld(now);
-  if (const auto& v = group.view()) {
-    out["view"] = v->number;
-    out["lister"] = v->discoveryLeader;
+  if (const auto& view = group.view()) {
+    out["view"] = view->number;
+    out["lister"] = view->discoveryLeader;
     boost::json::array members;
-    for (const auto& m : v->members)
-      members.push_back({{"id", m.id}, {"zone", m.zone}, {"incarnation", m.incarnation}});
+    for (const auto& member : view->members)
+      members.push_back({{"id", member.id}, {"zone", member.zone}, {"incarnation", member.incarnation}});
     out["members"] = std::move(members);
   }
   out["rejectedMessages"] = group.rejected();
--- a/src/cli/rollout_command.cpp
+++ b/src/cli/rollout_command.cpp
@@ -68,10 +68,11 @@
     std::cerr << "indigohill: rollout: " << arguments.file << ": " << bad->message << "\n";
     return kBadOrder;
   }
-  const auto& r = std::get<rollout::Record>(record);
-  const auto reply = controllers.call(http::wire::verb::post, "/v1/Rollouts.Declare/" + r.service, document);
+  const auto& rollout = std::get<rollout::Record>(record);
+  const auto reply = controllers.call(http::wire::verb::post, "/v1/Rollouts.Declare/" + rollout.service, document);
   if (!reply) return noClearAnswer(controllers, true);
-  return finish(arguments, *reply, {{"service", r.service}, {"number", r.number}, {"stage", r.stages[0].name}});
+  return finish(arguments, *reply,
+                {{"service", rollout.service}, {"number", rollout.number}, {"stage", rollout.stages[0].name}});
 }
 
 // The number after the one in force: of two operators that go by the same state, one wins.
@@ -80,8 +81,9 @@
   const auto reply = controllers.call(http::wire::verb::get, "/v1/Rollouts.Describe", "");
   if (!reply || reply->status != 200) return std::nullopt;
   const auto described = parsed(reply->body, "Rollouts.Describe");
-  for (const auto& r : described.at("rollouts").as_array())
-    if (r.at("service").as_string() == arguments.service) return r.at("number").to_number<std::uint64_t>() + 1;
+  for (const auto& rollout : described.at("rollouts").as_array())
+    if (rollout.at("service").as_string() == arguments.service)
+      return rollout.at("number").to_number<std::uint64_t>() + 1;
   return 1;
 }
 
@@ -115,18 +117,18 @@
   controllers.useOnly(described->from);
   const auto state = controllers.call(http::wire::verb::get, "/v1/Status", "");
   if (!state || state->status != 200) return noClearAnswer(controllers, false);
-  auto described_ = parsed(described->body, "Rollouts.Describe");
-  const auto state_ = parsed(state->body, "Status");
+  auto rolloutsInForce = parsed(described->body, "Rollouts.Describe");
+  const auto statusNow = parsed(state->body, "Status");
   json::array shown;
   bool held = false;
-  for (auto& r : described_.at("rollouts").as_array()) {
-    if (r.as_object().contains("withdrawn") ||
-        (!arguments.service.empty() && r.at("service").as_string() != arguments.service))
+  for (auto& rollout : rolloutsInForce.at("rollouts").as_array()) {
+    if (rollout.as_object().contains("withdrawn") ||
+        (!arguments.service.empty() && rollout.at("service").as_string() != arguments.service))
       continue;
-    auto out = r.as_object();
-    if (const auto* judged = state_.as_object().if_contains("rollouts"))
+    auto out = rollout.as_object();
+    if (const auto* judged = statusNow.as_object().if_contains("rollouts"))
       for (const auto& j : judged->as_array())
-        if (j.at("service") == r.at("service")) {
+        if (j.at("service") == rollout.at("service")) {
           out["serving"] = j.at("serving");
           out["heldBack"] = j.at("heldBack");
           held = held || !j.at("heldBack").as_array().empty();
@@ -140,18 +142,18 @@
   if (shown.empty())
     std::cout << "no rollout is declared" << (arguments.service.empty() ? "" : " for service " + arguments.service)
               << "\n";
-  for (const auto& r : shown) {
-    std::cout << "service " << r.at("service").as_string().c_str() << ": number " << r.at("number") << ", stages "
-              << (r.at("record").is_object() ? stages(r) : "that this program cannot read");
-    const auto* whom = r.as_object().if_contains("heldBack");
+  for (const auto& rollout : shown) {
+    std::cout << "service " << rollout.at("service").as_string().c_str() << ": number " << rollout.at("number")
+              << ", stages " << (rollout.at("record").is_object() ? stages(rollout) : "that this program cannot read");
+    const auto* whom = rollout.as_object().if_contains("heldBack");
     if (whom == nullptr) {
       std::cout << "\n";
       continue;
     }
-    std::cout << "; " << r.at("serving") << " runners may serve, " << whom->as_array().size() << " held back\n";
-    for (const auto& h : whom->as_array())
-      std::cout << "  " << h.at("instanceId").as_string().c_str() << " in " << h.at("zone").as_string().c_str() << ": "
-                << h.at("why").as_string().c_str() << "\n";
+    std::cout << "; " << rollout.at("serving") << " runners may serve, " << whom->as_array().size() << " held back\n";
+    for (const auto& heldBack : whom->as_array())
+      std::cout << "  " << heldBack.at("instanceId").as_string().c_str() << " in "
+                << heldBack.at("zone").as_string().c_str() << ": " << heldBack.at("why").as_string().c_str() << "\n";
   }
   return held ? kSomebodyHeldBack : kDone;
 }
--- a/src/cli/router_daemon.cpp
+++ b/src/cli/router_daemon.cpp
@@ -28,18 +28,19 @@
 constexpr Millis kKillMargin{400};  // the process ends by itself so long before the platform kills it
 
 // How long the process runs on after it was told to stop.
-Millis graceOf(const settings::Settings& s) { return s.gracePeriodS - kKillMargin; }
-
-routing::Bounds boundsOf(const settings::Settings& s) {
-  return {s.retryBudgetRatio,
-          s.retryBudgetSlack,
-          s.warmupOvershoot,
-          s.warmupSlack,
-          s.retryWindowS,
-          groupTimes(s).lease + groupTimes(s).handover,
-          s.policy,
-          static_cast<std::size_t>((s.policy.indexMb > 0 ? s.policy.indexMb : 0.1 * static_cast<double>(s.memoryMb)) *
-                                   (1 << 20))};
+Millis graceOf(const settings::Settings& settings) { return settings.gracePeriodS - kKillMargin; }
+
+routing::Bounds boundsOf(const settings::Settings& settings) {
+  return {settings.retryBudgetRatio,
+          settings.retryBudgetSlack,
+          settings.warmupOvershoot,
+          settings.warmupSlack,
+          settings.retryWindowS,
+          groupTimes(settings).lease + groupTimes(settings).handover,
+          settings.policy,
+          static_cast<std::size_t>(
+              (settings.policy.indexMb > 0 ? settings.policy.indexMb : 0.1 * static_cast<double>(settings.memoryMb)) *
+              (1 << 20))};
 }
 
 // A router's core, its routing table and its proxy with their sockets. The core runs on one strand (`control_`);
@@ -120,8 +121,8 @@
                       .with("rankings", index.rankings));
   }
 
-  static std::size_t workersOf(const settings::Settings& s) {
-    return std::clamp<std::size_t>(s.workers != 0 ? s.workers : s.cpuCores, 1, 64);
+  static std::size_t workersOf(const settings::Settings& settings) {
+    return std::clamp<std::size_t>(settings.workers != 0 ? settings.workers : settings.cpuCores, 1, 64);
   }
 
   http::Response readiness(const http::Request& request) {
@@ -203,10 +204,10 @@
   bool isDone(base::TimePoint now) {
     if (!shuttingDown_) return false;
     const auto since = now - shutDownAt_;
-    const auto& s = watch_.current();
+    const auto& settings = watch_.current();
     if (since > kDelisted) executor_.closeIdleConnections();
     const bool idle = since > kDelisted && executor_.counters().active == 0;
-    if (!idle && since < graceOf(s)) return false;
+    if (!idle && since < graceOf(settings)) return false;
     io_.stop();
     return true;
   }
--- a/src/control/calls.hpp
+++ b/src/control/calls.hpp
@@ -20,7 +20,7 @@
   std::string_view method, path;
 };
 
-// A matcher takes its part of what is call and hands the rest to its children; the first child that matches wins.
+// A matcher takes its part of what is requested and hands the rest to its children; the first child that matches wins.
 class Matcher {
  public:
   using Test = std::function<bool(CallPath&)>;
@@ -29,11 +29,11 @@
   Matcher(Test test, std::vector<Matcher> children) : test_(std::move(test)), children_(std::move(children)) {}
   Matcher(Test test, Make make) : test_(std::move(test)), make_(std::move(make)) {}
 
-  std::optional<Call> match(CallPath call) const {
-    if (!test_(call)) return std::nullopt;
-    if (make_) return make_(call);
+  std::optional<Call> match(CallPath requested) const {
+    if (!test_(requested)) return std::nullopt;
+    if (make_) return make_(requested);
     for (const auto& child : children_)
-      if (auto found = child.match(call)) return found;
+      if (auto found = child.match(requested)) return found;
     return std::nullopt;
   }
 
@@ -44,27 +44,28 @@
 };
 
 inline Matcher::Test method(std::string_view name) {
-  return [name](CallPath& call) { return call.method == name; };
+  return [name](CallPath& requested) { return requested.method == name; };
 }
 inline Matcher::Test under(std::string_view prefix) {
-  return [prefix](CallPath& call) {
-    if (!call.path.starts_with(prefix)) return false;
-    call.path.remove_prefix(prefix.size());
+  return [prefix](CallPath& requested) {
+    if (!requested.path.starts_with(prefix)) return false;
+    requested.path.remove_prefix(prefix.size());
     return true;
   };
 }
 inline Matcher exactly(std::string_view name, Call call) {
-  return Matcher([name](CallPath& call) { return call.path == name; },
+  return Matcher([name](CallPath& requested) { return requested.path == name; },
                  Matcher::Make([call](const CallPath&) -> std::optional<Call> { return call; }));
 }
 inline Matcher named(std::string_view prefix, OrderKind kind) {
-  return Matcher(under(prefix), Matcher::Make([kind](const CallPath& call) -> std::optional<Call> {
-                   if (call.path.empty() || call.path.find('/') != std::string_view::npos) return std::nullopt;
-                   return Call{Call::Kind::Order, kind, std::string(call.path)};
+  return Matcher(under(prefix), Matcher::Make([kind](const CallPath& requested) -> std::optional<Call> {
+                   if (requested.path.empty() || requested.path.find('/') != std::string_view::npos)
+                     return std::nullopt;
+                   return Call{Call::Kind::Order, kind, std::string(requested.path)};
                  }));
 }
 
-inline std::optional<Call> findCall(std::string_view method_, std::string_view target) {
+inline std::optional<Call> findCall(std::string_view httpMethod, std::string_view target) {
   static const Matcher tree(
       under("/v1/"),
       std::vector<Matcher>{
@@ -80,7 +81,7 @@
                                      exactly("Configuration.Describe", {Call::Kind::Order, OrderKind::Describe, {}}),
                                      exactly("Rollouts.Describe", {Call::Kind::Order, OrderKind::DescribeRollouts, {}}),
                                      exactly("Status", {Call::Kind::Status, {}, {}})})});
-  return tree.match({method_, target.substr(0, target.find('?'))});
+  return tree.match({httpMethod, target.substr(0, target.find('?'))});
 }
 
 }  // namespace indigohill::control
--- a/src/control/configuration.cpp
+++ b/src/control/configuration.cpp
@@ -107,10 +107,10 @@
   const auto warmup = fraction(in, where + ".", "warmupS");
   out.warmup = base::Millis(static_cast<std::int64_t>(std::min(warmup, 86400.0) * 1000));
   out.warmupPerS = fraction(in, where + ".", "warmupPerS");
-  if (const auto* engine = get(in, "engine")) {
-    const auto& e = object(*engine, where + ".engine");
-    out.capacitySlots = static_cast<std::uint32_t>(whole(e, where + ".engine.", "capacitySlots", 0));
-    out.kvCacheTokens = whole(e, where + ".engine.", "kvCacheTokens", 0);
+  if (const auto* field = get(in, "engine")) {
+    const auto& engine = object(*field, where + ".engine");
+    out.capacitySlots = static_cast<std::uint32_t>(whole(engine, where + ".engine.", "capacitySlots", 0));
+    out.kvCacheTokens = whole(engine, where + ".engine.", "kvCacheTokens", 0);
   }
   return out;
 }
@@ -119,7 +119,7 @@
   Route out;
   out.name = text(in, where, "name", true);
   out.host = text(in, where, "hostname", true);
-  for (auto& c : out.host) c = static_cast<char>(std::tolower(static_cast<unsigned char>(c)));
+  for (auto& character : out.host) character = static_cast<char>(std::tolower(static_cast<unsigned char>(character)));
   out.prefix = text(in, where, "pathPrefix", true);
   if (out.prefix.front() != '/' || out.prefix.back() != '/')
     wrong(where + ".pathPrefix", "must begin and end with a slash");
@@ -204,11 +204,57 @@
   return text(object(item, where), where, "name", true);
 }
 
+// The parts of an update. `key` names a list of the document.
+
+void checkListName(std::string_view key, const std::string& where) {
+  if (key != "routes" && key != "services") wrong(where, "unknown list");
+}
+
+void removeItems(json::object& document, std::string_view key, const json::value& names) {
+  const std::string where = "remove." + std::string(key);
+  checkListName(key, where);
+  if (!names.is_array()) wrong(where, "a list of names is wanted");
+  std::set<std::string> removed;
+  for (const auto& name : names.as_array()) {
+    if (!name.is_string()) wrong(where, "a list of names is wanted");
+    removed.emplace(name.as_string());
+  }
+  json::array remaining;
+  if (const auto* list = get(document, std::string(key).c_str()))
+    for (const auto& item : list->as_array())
+      if (!removed.contains(nameOf(item, where))) remaining.push_back(item);
+  document[key] = std::move(remaining);
+}
+
+void upsertItems(json::object& document, std::string_view key, const json::value& items) {
+  const std::string where = "upsert." + std::string(key);
+  if (key == "limits") {
+    document[key] = object(items, where);
+    return;
+  }
+  checkListName(key, where);
+  if (!items.is_array()) wrong(where, "a list is wanted");
+  if (get(document, std::string(key).c_str()) == nullptr) document[key] = json::array{};
+  auto& list = document[key].as_array();
+  std::set<std::string> names;
+  for (const auto& item : items.as_array()) {
+    const auto name = nameOf(item, where);
+    if (!names.insert(name).second) wrong(where, "'" + name + "' is there twice");
+    json::value* present = nullptr;
+    for (auto& old : list)
+      if (nameOf(old, where) == name) present = &old;
+    if (present != nullptr)
+      *present = item;
+    else
+      list.push_back(item);
+  }
+}
+
 }  // namespace
 
 const Service* Configuration::service(std::string_view name) const {
-  for (const auto& s : services)
-    if (s.name == name) return &s;
+  for (const auto& service : services)
+    if (service.name == name) return &service;
   return nullptr;
 }
 
@@ -222,55 +268,16 @@
 
 base::Result<std::string> applyUpdate(std::string_view current, std::string_view update) {
   try {
-    auto base = parseText(current);
+    auto document = parseText(current);
     const auto change = parseText(update);
-    auto& top = base.as_object();
+    auto& top = document.as_object();
     const auto& in = object(change, "update");
     top["revision"] = whole(in, "", "revision", 0, true);
-    if (const auto* remove = get(in, "remove")) {
-      for (const auto& [key, names] : object(*remove, "remove")) {
-        const std::string where = "remove." + std::string(key);
-        if (key != "routes" && key != "services") wrong(where, "unknown list");
-        if (!names.is_array()) wrong(where, "a list of names is wanted");
-        std::set<std::string> gone;
-        for (const auto& name : names.as_array()) {
-          if (!name.is_string()) wrong(where, "a list of names is wanted");
-          gone.emplace(name.as_string());
-        }
-        json::array kept;
-        if (const auto* had = get(top, std::string(key).c_str()))
-          for (const auto& item : had->as_array())
-            if (!gone.contains(nameOf(item, where))) kept.push_back(item);
-        top[key] = std::move(kept);
-      }
-    }
-    if (const auto* upsert = get(in, "upsert")) {
-      for (const auto& [key, items] : object(*upsert, "upsert")) {
-        const std::string where = "upsert." + std::string(key);
-        if (key == "limits") {
-          top[key] = object(items, where);
-          continue;
-        }
-        if (key != "routes" && key != "services") wrong(where, "unknown list");
-        if (!items.is_array()) wrong(where, "a list is wanted");
-        if (get(top, std::string(key).c_str()) == nullptr) top[key] = json::array{};
-        auto& list = top[key].as_array();
-        std::set<std::string> seen;
-        for (const auto& item : items.as_array()) {
-          const auto name = nameOf(item, where);
-          if (!seen.insert(name).second) wrong(where, "'" + name + "' is there twice");
-          auto* place = &item;
-          json::value* found = nullptr;
-          for (auto& old : list)
-            if (nameOf(old, where) == name) found = &old;
-          if (found != nullptr)
-            *found = *place;
-          else
-            list.push_back(*place);
-        }
-      }
-    }
-    return json::serialize(base);
+    if (const auto* remove = get(in, "remove"))
+      for (const auto& [key, names] : object(*remove, "remove")) removeItems(top, key, names);
+    if (const auto* upsert = get(in, "upsert"))
+      for (const auto& [key, items] : object(*upsert, "upsert")) upsertItems(top, key, items);
+    return json::serialize(document);
   } catch (const Wrong& e) {
     return base::Error{base::ErrorCode::InvalidInput, e.what};
   }
--- a/src/control/identity.cpp
+++ b/src/control/identity.cpp
@@ -62,7 +62,7 @@
   if (auto kept = load(read)) return *std::move(kept);
   std::vector<std::string> voters;
   voters.reserve(seeds.size());
-  for (const auto& s : seeds) voters.push_back(settings::text(s));
+  for (const auto& address : seeds) voters.push_back(settings::text(address));
   const auto own = settings::text(controlPlane);
   const bool founder = bootstrap && isEmpty(read) && base::contains(voters, own);
   Identity out;
--- a/src/control/leadership_check.cpp
+++ b/src/control/leadership_check.cpp
@@ -21,7 +21,8 @@
 
 void LeadershipCheck::confirm(const std::string& voter, std::uint64_t round, std::uint64_t epoch,
                               const std::vector<std::string>& voters) {
-  const auto asked = std::find_if(rounds_.begin(), rounds_.end(), [&](const Round& r) { return r.number == round; });
+  const auto asked =
+      std::find_if(rounds_.begin(), rounds_.end(), [&](const Round& sent) { return sent.number == round; });
   if (epoch != epoch_ || asked == rounds_.end() || !base::contains(voters, voter)) return;
   asked->confirmedBy.insert(voter);
   if (asked->confirmedBy.size() > voters.size() / 2) confirmedAt_ = std::max(confirmedAt_, asked->beganAt);
--- a/src/feed/runner_list.cpp
+++ b/src/feed/runner_list.cpp
@@ -18,11 +18,12 @@
 
 std::uint64_t digestOf(const std::vector<schema::RunnerEntry>& runners) {
   std::uint64_t digest = runners.size();
-  for (const auto& e : runners) {
-    digest = base::hash(fmt::format("{} {} {} {} {} {} {} {} {} {}", e.instanceId, e.service, e.zone, e.ip, e.port,
-                                    e.slots, e.draining, e.warmupLeftMs, e.revision, e.models.size()),
-                        digest);
-    for (const auto& model : e.models) {
+  for (const auto& entry : runners) {
+    digest = base::hash(
+        fmt::format("{} {} {} {} {} {} {} {} {} {}", entry.instanceId, entry.service, entry.zone, entry.ip, entry.port,
+                    entry.slots, entry.draining, entry.warmupLeftMs, entry.revision, entry.models.size()),
+        digest);
+    for (const auto& model : entry.models) {
       digest = base::hash(fmt::format("{} {} {}", model.name, model.revision, model.adapters.size()), digest);
       for (const auto& adapter : model.adapters) digest = base::hash(adapter, digest);
     }
@@ -104,10 +105,9 @@
   content.hasRunners = true;
   content.runnersDigest = digest_;
   std::set<std::string_view> changedIds;
-  auto change = std::find_if(changes_.begin(), changes_.end(), [&](const auto& c) { return c.from == base; });
+  auto change = std::find_if(changes_.begin(), changes_.end(), [&](const auto& known) { return known.from == base; });
   const bool baseKnown = change != changes_.end();
-  for (; change != changes_.end(); ++change)
-    changedIds.insert(change->instanceIds.begin(), change->instanceIds.end());
+  for (; change != changes_.end(); ++change) changedIds.insert(change->instanceIds.begin(), change->instanceIds.end());
   if (!baseKnown || changedIds.size() >= runners_.size()) {
     content.runners = runners_;
     return;
--- a/src/hollow/fleet.cpp
+++ b/src/hollow/fleet.cpp
@@ -1,7 +1,7 @@
 #include "hollow/fleet.hpp"
 
 #include <fmt/format.h>
-#include <time.h>
+#include <ctime>
 
 #include <algorithm>
 #include <numeric>
--- a/src/hollow/report.cpp
+++ b/src/hollow/report.cpp
@@ -113,7 +113,7 @@
     for (const auto& [at, is] : sizes[scenario]) {
       const auto found = row.values.find(at);
       out += found == row.values.end() ? " |" : fmt::format(" {} |", number(found->second));
-      if (found != row.values.end()) points.push_back(*found);
+      if (found != row.values.end()) points.emplace_back(*found);
     }
     out += fmt::format(" {} | {:.1f} |\n", number(fit(points).slope), power(points));
   }
--- a/src/http/types.hpp
+++ b/src/http/types.hpp
@@ -26,7 +26,9 @@
 // Every asynchronous call gives its error back as a value.
 constexpr auto kTuple = asio::as_tuple(asio::use_awaitable);
 
-inline tcp::endpoint tcpEndpoint(const settings::Endpoint& e) { return {asio::ip::address_v4(e.ip), e.port}; }
+inline tcp::endpoint tcpEndpoint(const settings::Endpoint& endpoint) {
+  return {asio::ip::address_v4(endpoint.ip), endpoint.port};
+}
 
 // Small messages go out at once, and a peer that has gone silent is noticed although it never resets.
 inline void tune(tcp::socket& socket, base::Millis silent) {
--- a/src/membership/view.cpp
+++ b/src/membership/view.cpp
@@ -48,9 +48,9 @@
 std::uint64_t digestOf(const schema::View& view) {
   std::string text = fmt::format("{} {} {} {}", view.number, view.epoch, view.discoveryLeader, view.unilateralEpoch);
   for (const auto& voter : view.voters) text += fmt::format(" {}", voter);
-  for (const auto& m : view.members)
-    text += fmt::format("\n{} {} {} {} {} {} {} {}", m.id, m.voterId, m.zone, m.role, m.ip, m.port, m.bootId,
-                        m.incarnation);
+  for (const auto& member : view.members)
+    text += fmt::format("\n{} {} {} {} {} {} {} {}", member.id, member.voterId, member.zone, member.role, member.ip,
+                        member.port, member.bootId, member.incarnation);
   return base::hash(text);
 }
 
--- a/src/model/views.cpp
+++ b/src/model/views.cpp
@@ -347,11 +347,11 @@
 // those that an acknowledged extension holds for failed. The goal is reported as a violation, for the explorer stops at
 // one.
 struct Recovery : ViewModel {
-  explicit Recovery(const ViewModel& model, const State& from) : ViewModel(model), from_(from) {
+  explicit Recovery(const ViewModel& model, const State& start) : ViewModel(model), from(start) {
     settings_.losses = 0;
     settings_.proposals = kProposals - 1;
   }
-  State initial() const { return from_; }
+  State initial() const { return from; }
   std::vector<Action> actions(const State& state) const {
     MachineSet lost = 0, held = 0;
     for (std::uint8_t i = 0; i < settings_.machines; ++i) {
@@ -378,7 +378,7 @@
     if (majority(founders, settings_.newVoters)) return "goal";
     return std::nullopt;
   }
-  State from_;
+  State from;
 };
 
 bool ViewModel::canGoOn(const State& state, std::size_t states) const {
--- a/src/net/codec.cpp
+++ b/src/net/codec.cpp
@@ -148,9 +148,9 @@
 }
 
 std::string encode(const schema::Message& message) {
-#define INDIGOHILL_ENCODE(number, name)                    \
-  if (const auto* m = std::get_if<schema::name>(&message)) \
-    return sealedMessage(number, pack(*m), !std::is_same_v<schema::name, schema::Update>);
+#define INDIGOHILL_ENCODE(number, name)                       \
+  if (const auto* held = std::get_if<schema::name>(&message)) \
+    return sealedMessage(number, pack(*held), !std::is_same_v<schema::name, schema::Update>);
   INDIGOHILL_MESSAGES(INDIGOHILL_ENCODE)
 #undef INDIGOHILL_ENCODE
   return {};
--- a/src/proxy/connection_pool.cpp
+++ b/src/proxy/connection_pool.cpp
@@ -109,7 +109,8 @@
 void ConnectionPool::closeStale(const std::set<std::string>& knownInstances, base::TimePoint now) {
   const std::lock_guard lock(mutex_);
   std::erase_if(idle_, [&](const auto& item) { return !knownInstances.contains(item.first); });
-  for (auto& [id, list] : idle_) std::erase_if(list, [&](const auto& c) { return now >= c->idleUntil; });
+  for (auto& [id, list] : idle_)
+    std::erase_if(list, [&](const auto& connection) { return now >= connection->idleUntil; });
 }
 
 }  // namespace indigohill::proxy
--- a/src/proxy/first_byte_watchdog.hpp
+++ b/src/proxy/first_byte_watchdog.hpp
@@ -35,8 +35,9 @@
  private:
   static constexpr base::Millis kHealthCheckInterval{100};
   struct State {
-    State(http::asio::any_io_executor strand, routing::Table& t, std::string id, Connection& c, bool a)
-        : timer(std::move(strand)), table(t), instanceId(std::move(id)), connection(&c), mayAbort(a) {}
+    State(const http::asio::any_io_executor& strand, routing::Table& itsTable, std::string id,
+          Connection& itsConnection, bool abortable)
+        : timer(strand), table(itsTable), instanceId(std::move(id)), connection(&itsConnection), mayAbort(abortable) {}
     http::asio::steady_timer timer;
     routing::Table& table;
     std::string instanceId;
--- a/src/proxy/response_head.cpp
+++ b/src/proxy/response_head.cpp
@@ -11,7 +11,7 @@
 // Whether a status line stands within the text, as where one response was cut off and the next one follows.
 bool holdsStatusLine(std::string_view text) {
   static constexpr std::string_view version = "HTTP/1.";
-  const auto isDigit = [](char c) { return c >= '0' && c <= '9'; };
+  const auto isDigit = [](char character) { return character >= '0' && character <= '9'; };
   for (auto at = text.find(version); at != std::string_view::npos; at = text.find(version, at + 1)) {
     const auto rest = text.substr(at + version.size());
     if (rest.size() >= 3 && isDigit(rest[0]) && rest[1] == ' ' && isDigit(rest[2])) return true;
--- a/src/proxy/socket_timer.hpp
+++ b/src/proxy/socket_timer.hpp
@@ -34,8 +34,8 @@
 
  private:
   struct State {
-    State(http::asio::any_io_executor strand, http::tcp::socket& s, base::TimePoint at)
-        : timer(std::move(strand), at), socket(&s) {}
+    State(const http::asio::any_io_executor& strand, http::tcp::socket& itsSocket, base::TimePoint at)
+        : timer(strand, at), socket(&itsSocket) {}
     http::asio::steady_timer timer;
     http::tcp::socket* socket;
     bool expired = false;
--- a/src/rollout/orders.cpp
+++ b/src/rollout/orders.cpp
@@ -80,8 +80,8 @@
 }
 
 const schema::Rollout* find(const Standing& standing, const std::string& service) {
-  for (const auto& r : standing.rollouts)
-    if (r.service == service) return &r;
+  for (const auto& rollout : standing.rollouts)
+    if (rollout.service == service) return &rollout;
   return nullptr;
 }
 
@@ -111,7 +111,8 @@
   auto out = standing.rollouts;
   try {
     auto next = changed(kind, service, body, standing);
-    const auto place = std::find_if(out.begin(), out.end(), [&](const auto& r) { return r.service == next.service; });
+    const auto place =
+        std::find_if(out.begin(), out.end(), [&](const auto& rollout) { return rollout.service == next.service; });
     if (place != out.end()) next.takenOrders = place->takenOrders;
     if (standing.order) control::remember(next.takenOrders, kTakenOrdersKept, next.number, *standing.order);
     if (place != out.end())
@@ -130,57 +131,59 @@
 
 std::vector<InForce> readAll(const std::vector<schema::Rollout>& rollouts) {
   std::vector<InForce> out;
-  for (const auto& r : rollouts)
-    if (auto inForce = read(r)) out.push_back(std::move(*inForce));
+  for (const auto& rollout : rollouts)
+    if (auto inForce = read(rollout)) out.push_back(std::move(*inForce));
   return out;
 }
 
 std::vector<HeldBack> heldBack(const std::vector<InForce>& rollouts, const std::vector<schema::RunnerEntry>& runners) {
   std::vector<HeldBack> out;
   for (const auto& rollout : rollouts)
-    for (const auto& r : runners)
-      if (r.service == rollout.service)
-        if (auto why = rollout.heldBack(snapshotOf(r)); !why.empty())
-          out.push_back({r.service, r.instanceId, r.zone, std::move(why)});
+    for (const auto& runner : runners)
+      if (runner.service == rollout.service)
+        if (auto why = rollout.heldBack(snapshotOf(runner)); !why.empty())
+          out.push_back({runner.service, runner.instanceId, runner.zone, std::move(why)});
   return out;
 }
 
 std::size_t serving(const InForce& rollout, const std::vector<schema::RunnerEntry>& runners) {
-  return static_cast<std::size_t>(std::count_if(runners.begin(), runners.end(), [&](const auto& r) {
-    return r.service == rollout.service && !r.draining && rollout.heldBack(snapshotOf(r)).empty();
+  return static_cast<std::size_t>(std::count_if(runners.begin(), runners.end(), [&](const auto& runner) {
+    return runner.service == rollout.service && !runner.draining && rollout.heldBack(snapshotOf(runner)).empty();
   }));
 }
 
 namespace {
-std::string stageName(const InForce& r) { return r.record ? r.record->stages[r.stage].name : std::to_string(r.stage); }
+std::string stageName(const InForce& rollout) {
+  return rollout.record ? rollout.record->stages[rollout.stage].name : std::to_string(rollout.stage);
+}
 }  // namespace
 
 std::string describe(const std::vector<schema::Rollout>& rollouts) {
   json::array list;
-  for (const auto& r : rollouts)
-    if (const auto inForce = read(r)) {
+  for (const auto& rollout : rollouts)
+    if (const auto inForce = read(rollout)) {
       json::error_code error;
-      auto record = json::parse(r.document, error);
-      list.push_back({{"service", r.service},
-                      {"number", r.number},
+      auto record = json::parse(rollout.document, error);
+      list.push_back({{"service", rollout.service},
+                      {"number", rollout.number},
                       {"stage", stageName(*inForce)},
-                      {"record", error ? json::value(r.document) : std::move(record)}});
+                      {"record", error ? json::value(rollout.document) : std::move(record)}});
     } else {
-      list.push_back({{"service", r.service}, {"number", r.number}, {"withdrawn", true}});
+      list.push_back({{"service", rollout.service}, {"number", rollout.number}, {"withdrawn", true}});
     }
   return json::serialize(json::object{{"rollouts", std::move(list)}});
 }
 
 std::string status(const std::vector<schema::Rollout>& rollouts, const std::vector<schema::RunnerEntry>& runners) {
   json::array list;
-  for (const auto& r : readAll(rollouts)) {
+  for (const auto& rollout : readAll(rollouts)) {
     json::array held;
-    for (const auto& h : heldBack({r}, runners))
-      held.push_back({{"instanceId", h.instanceId}, {"zone", h.zone}, {"why", h.why}});
-    list.push_back({{"service", r.service},
-                    {"number", r.number},
-                    {"stage", stageName(r)},
-                    {"serving", serving(r, runners)},
+    for (const auto& runner : heldBack({rollout}, runners))
+      held.push_back({{"instanceId", runner.instanceId}, {"zone", runner.zone}, {"why", runner.why}});
+    list.push_back({{"service", rollout.service},
+                    {"number", rollout.number},
+                    {"stage", stageName(rollout)},
+                    {"serving", serving(rollout, runners)},
                     {"heldBack", std::move(held)}});
   }
   return json::serialize(list);
--- a/src/rollout/record.cpp
+++ b/src/rollout/record.cpp
@@ -114,18 +114,19 @@
 }
 
 std::string modelDifference(const std::vector<schema::ModelEntry>& has, const std::vector<schema::ModelEntry>& wanted) {
-  for (const auto& w : wanted) {
-    const auto found = std::find_if(has.begin(), has.end(), [&](const auto& m) { return m.name == w.name; });
-    if (found == has.end()) return fmt::format("model {} is not known to be there", w.name);
-    if (found->revision != w.revision)
-      return fmt::format("model {} has weights {}, wanted {}", w.name, found->revision, w.revision);
-    if (found->adapters != w.adapters)
-      return fmt::format("model {} has adapters [{}], wanted [{}]", w.name, fmt::join(found->adapters, ", "),
-                         fmt::join(w.adapters, ", "));
+  for (const auto& model : wanted) {
+    const auto found =
+        std::find_if(has.begin(), has.end(), [&](const auto& other) { return other.name == model.name; });
+    if (found == has.end()) return fmt::format("model {} is not known to be there", model.name);
+    if (found->revision != model.revision)
+      return fmt::format("model {} has weights {}, wanted {}", model.name, found->revision, model.revision);
+    if (found->adapters != model.adapters)
+      return fmt::format("model {} has adapters [{}], wanted [{}]", model.name, fmt::join(found->adapters, ", "),
+                         fmt::join(model.adapters, ", "));
   }
-  for (const auto& m : has)
-    if (std::none_of(wanted.begin(), wanted.end(), [&](const auto& w) { return w.name == m.name; }))
-      return fmt::format("model {} is in no snapshot", m.name);
+  for (const auto& model : has)
+    if (std::none_of(wanted.begin(), wanted.end(), [&](const auto& other) { return other.name == model.name; }))
+      return fmt::format("model {} is in no snapshot", model.name);
   return {};
 }
 
@@ -135,14 +136,14 @@
   if (model.empty()) {
     if (models.empty()) return std::nullopt;
     const auto first = models.front().revision;
-    for (const auto& m : models)
-      if (m.revision != first) return std::nullopt;
+    for (const auto& entry : models)
+      if (entry.revision != first) return std::nullopt;
     return first;
   }
-  for (const auto& m : models)
-    if (m.name == model) return m.revision;
-  for (const auto& m : models)
-    if (base::contains(m.adapters, model)) return m.revision;
+  for (const auto& entry : models)
+    if (entry.name == model) return entry.revision;
+  for (const auto& entry : models)
+    if (base::contains(entry.adapters, model)) return entry.revision;
   return std::nullopt;
 }
 
--- a/src/router/router_core.cpp
+++ b/src/router/router_core.cpp
@@ -111,10 +111,10 @@
   for (const auto& rollout : rollouts) {
     if (rollout.record) continue;
     publisher_.markDigestMismatch();
-    effects.log.push_back(
+    effects.log.emplace_back(
         LogEvent("rollout_unreadable").with("service", rollout.service).with("error", rollout.problem));
   }
-  effects.events.push_back(
+  effects.events.emplace_back(
       routing::StateReceived{state.version, std::move(configuration), state.evacuated, std::move(rollouts)});
 }
 
@@ -125,7 +125,7 @@
   const auto& list = publisher_.runnerList();
   const bool first = !list.isKnown();
   if (!publisher_.applyRunners(update, content, listedAt)) return;
-  effects.events.push_back(routing::RunnersReceived{list.version(), list.runners(), list.listedAt()});
+  effects.events.emplace_back(routing::RunnersReceived{list.version(), list.runners(), list.listedAt()});
   if (first) effects.log.push_back(LogEvent("runners_listed").with("runners", list.runners().size()));
 }
 
@@ -170,11 +170,11 @@
                                            .with("members", event.view->members.size())
                                            .with("incarnation", group_.incarnation())
                                      : LogEvent("expelled_from_view"));
-    effects.events.push_back(routing::ViewReceived{std::move(event.view), group_.incarnation()});
+    effects.events.emplace_back(routing::ViewReceived{std::move(event.view), group_.incarnation()});
   }
   auto proposed = group_.pending() ? routing::routersOf(group_.pending()->result) : routing::Routers{};
   if (proposed != proposedRouters_)
-    effects.events.push_back(routing::ProposalReceived{proposedRouters_ = std::move(proposed)});
+    effects.events.emplace_back(routing::ProposalReceived{proposedRouters_ = std::move(proposed)});
   if (const auto holder = group_.flushFrom())
     effects.out.push_back({*holder, schema::Poll{0, publisher_.stateVersion(), feed::kNothingWanted}});
 }
@@ -210,7 +210,7 @@
 // Kept under the version held: whatever a controller has next takes its place.
 void RouterCore::onListRead(std::vector<schema::RunnerEntry> runners, base::TimePoint askedAt, RouterEffects& effects) {
   const auto version = publisher_.runnerList().version();
-  effects.events.push_back(routing::RunnersReceived{version, runners, askedAt});
+  effects.events.emplace_back(routing::RunnersReceived{version, runners, askedAt});
   publisher_.setRunners(version, std::move(runners), askedAt);
 }
 
--- a/src/routing/health.cpp
+++ b/src/routing/health.cpp
@@ -16,7 +16,8 @@
 std::vector<std::uint64_t> assessorsOf(const Routers& routers, const std::string& instanceId) {
   std::vector<std::pair<std::uint64_t, std::uint64_t>> ranked;
   ranked.reserve(routers.size());
-  for (const auto& r : routers) ranked.emplace_back(routerRank(instanceId, r.incarnation), r.incarnation);
+  for (const auto& router : routers)
+    ranked.emplace_back(routerRank(instanceId, router.incarnation), router.incarnation);
   const auto most = std::min(kAssessors, ranked.size());
   std::partial_sort(ranked.begin(), ranked.begin() + static_cast<std::ptrdiff_t>(most), ranked.end());
   std::vector<std::uint64_t> out;
@@ -31,7 +32,7 @@
 
 std::optional<std::uint64_t> Evidence::agreed(const Routers& routers, double expected, const Suspension& before,
                                               base::TimePoint now) {
-  std::erase_if(reporters_, [&](const auto& r) { return now - r.second.second >= kEvidenceLife; });
+  std::erase_if(reporters_, [&](const auto& router) { return now - router.second.second >= kEvidenceLife; });
   std::map<std::uint64_t, std::size_t> reports;
   std::uint64_t commonest = kEveryZone;
   std::size_t most = 0;
@@ -41,7 +42,7 @@
       commonest = r.first;
     }
   const auto inZone = static_cast<std::size_t>(
-      std::count_if(routers.begin(), routers.end(), [&](const auto& r) { return r.zone == commonest; }));
+      std::count_if(routers.begin(), routers.end(), [&](const auto& router) { return router.zone == commonest; }));
   // One zone that has left it out by itself says nothing about the others.
   const bool eased = before.probationForAll(now);
   const std::size_t elsewhere = inZone == routers.size() ? 0 : eased ? 1 : 2;
@@ -66,7 +67,7 @@
 }
 
 void Lateness::late(const std::string& instanceId) {
-  std::erase_if(waiting_, [&](const auto& w) { return w.first != instanceId; });
+  std::erase_if(waiting_, [&](const auto& waiting) { return waiting.first != instanceId; });
   waiting_.emplace(instanceId, 0);
 }
 
--- a/src/routing/popularity.hpp
+++ b/src/routing/popularity.hpp
@@ -14,9 +14,9 @@
   // Tokens a second that had come for the key before these.
   double add(std::uint64_t key, double tokens, base::TimePoint now) {
     if (entries_.size() >= kMaxEntries) sweep(now);
-    auto& s = entries_[key];
-    const double before = s.tokens * left(s, now);
-    s = {before + tokens, now};
+    auto& entry = entries_[key];
+    const double before = entry.tokens * left(entry, now);
+    entry = {before + tokens, now};
     return before / base::seconds(kFadeTime);
   }
 
@@ -27,8 +27,8 @@
   };
   static constexpr base::Millis kFadeTime{4000};
   static constexpr std::size_t kMaxEntries = 4096;
-  static double left(const Entry& s, base::TimePoint now) {
-    return std::exp(-base::seconds(now - s.at) / base::seconds(kFadeTime));
+  static double left(const Entry& entry, base::TimePoint now) {
+    return std::exp(-base::seconds(now - entry.at) / base::seconds(kFadeTime));
   }
   // All that has nearly faded goes; if that is not enough, everything does.
   void sweep(base::TimePoint now) {
--- a/src/routing/shared_health.cpp
+++ b/src/routing/shared_health.cpp
@@ -11,8 +11,8 @@
 constexpr std::size_t kSuspendedPart = 4;      // at most one in so many runners is left out
 
 const RouterId* routerIn(const Routers& routers, std::uint64_t incarnation) {
-  const auto found =
-      std::find_if(routers.begin(), routers.end(), [&](const auto& r) { return r.incarnation == incarnation; });
+  const auto found = std::find_if(routers.begin(), routers.end(),
+                                  [&](const auto& router) { return router.incarnation == incarnation; });
   return found == routers.end() ? nullptr : &*found;
 }
 }  // namespace
--- a/src/routing/slow_start.cpp
+++ b/src/routing/slow_start.cpp
@@ -25,9 +25,9 @@
 
 Routers routersOf(const schema::View& view) {
   Routers out;
-  for (const auto& m : view.members)
-    if (m.role == static_cast<std::uint8_t>(membership::Role::Router))
-      out.push_back({m.incarnation, base::hash(m.zone)});
+  for (const auto& member : view.members)
+    if (member.role == static_cast<std::uint8_t>(membership::Role::Router))
+      out.push_back({member.incarnation, base::hash(member.zone)});
   return out;
 }
 
@@ -67,25 +67,25 @@
   place = {generation_, 0};
   const auto zoneHash = base::hash(zone);
   for (const auto& group : groups_) {
-    const auto self =
-        std::find_if(group.routers.begin(), group.routers.end(), [&](const auto& r) { return r.incarnation == self_; });
+    const auto self = std::find_if(group.routers.begin(), group.routers.end(),
+                                   [&](const auto& router) { return router.incarnation == self_; });
     // Without a place in one of them there is no part.
     if (self == group.routers.end()) return place.before = std::numeric_limits<std::size_t>::max();
-    const auto key = [&](const RouterId& r) {
-      return std::tuple(r.zone != zoneHash, routerRank(instanceId, r.incarnation), r.incarnation);
+    const auto key = [&](const RouterId& router) {
+      return std::tuple(router.zone != zoneHash, routerRank(instanceId, router.incarnation), router.incarnation);
     };
     const auto own = key(*self);
-    place.before =
-        std::max(place.before, static_cast<std::size_t>(std::count_if(group.routers.begin(), group.routers.end(),
-                                                                      [&](const auto& r) { return key(r) < own; })));
+    place.before = std::max(
+        place.before, static_cast<std::size_t>(std::count_if(group.routers.begin(), group.routers.end(),
+                                                             [&](const auto& router) { return key(router) < own; })));
   }
   return place.before;
 }
 
 double SlowStartShares::rate(const std::string& instanceId, std::string_view zone, const control::Service& service,
                              const Bounds& bounds, base::Millis memory, base::TimePoint now) {
-  if (std::erase_if(groups_, [&](const auto& g) {
-        return g.overSince != base::TimePoint::max() && now - g.overSince >= memory;
+  if (std::erase_if(groups_, [&](const auto& group) {
+        return group.overSince != base::TimePoint::max() && now - group.overSince >= memory;
       }) > 0)
     ++generation_;
   if (groups_.empty()) return 0;
--- a/src/runners/list.cpp
+++ b/src/runners/list.cpp
@@ -10,32 +10,32 @@
 
 namespace {
 template <class T>
-T wholeOr(const json::object& o, const char* name, T fallback) {
-  const auto* v = o.if_contains(name);
-  if (v == nullptr || !v->is_number()) return fallback;
-  const auto number = v->to_number<double>();
+T wholeOr(const json::object& object, const char* name, T fallback) {
+  const auto* value = object.if_contains(name);
+  if (value == nullptr || !value->is_number()) return fallback;
+  const auto number = value->to_number<double>();
   return number < 0 || number > 4e9 ? fallback : static_cast<T>(number);
 }
-std::string textOr(const json::object& o, const char* name) {
-  const auto* v = o.if_contains(name);
-  return v != nullptr && v->is_string() ? std::string(v->as_string()) : std::string();
+std::string textOr(const json::object& object, const char* name) {
+  const auto* value = object.if_contains(name);
+  return value != nullptr && value->is_string() ? std::string(value->as_string()) : std::string();
 }
 // Models with the revisions of their weights and the adapters on them. What cannot be read whole is not known.
-std::optional<std::vector<schema::ModelEntry>> modelsOf(const json::object& o) {
-  const auto* list = o.if_contains("models");
+std::optional<std::vector<schema::ModelEntry>> modelsOf(const json::object& object) {
+  const auto* list = object.if_contains("models");
   if (list == nullptr || list->is_null()) return std::vector<schema::ModelEntry>{};
   if (!list->is_array()) return std::nullopt;
   std::vector<schema::ModelEntry> out;
   for (const auto& item : list->as_array()) {
     if (!item.is_object()) return std::nullopt;
-    const auto& m = item.as_object();
-    const auto* revision = m.if_contains("revision");
-    schema::ModelEntry model{textOr(m, "name"), 0, {}};
+    const auto& entry = item.as_object();
+    const auto* revision = entry.if_contains("revision");
+    schema::ModelEntry model{textOr(entry, "name"), 0, {}};
     if (model.name.empty() || revision == nullptr) return std::nullopt;
     json::error_code error;
     model.revision = revision->to_number<std::uint64_t>(error);
     if (error) return std::nullopt;
-    if (const auto* adapters = m.if_contains("adapters"); adapters != nullptr && !adapters->is_null()) {
+    if (const auto* adapters = entry.if_contains("adapters"); adapters != nullptr && !adapters->is_null()) {
       if (!adapters->is_array()) return std::nullopt;
       for (const auto& adapter : adapters->as_array()) {
         if (!adapter.is_string()) return std::nullopt;
@@ -60,46 +60,46 @@
   page.nextPageToken = textOr(value.as_object(), "nextPageToken");
   for (const auto& item : instances->as_array()) {
     if (!item.is_object()) return wrong("instances: an object is wanted");
-    const auto& o = item.as_object();
-    schema::RunnerEntry e;
-    e.instanceId = textOr(o, "instanceId");
-    e.service = textOr(o, "targetService");
-    e.zone = textOr(o, "zone");
-    auto address = settings::parseEndpoint(textOr(o, "address"));
-    if (e.instanceId.empty() || e.service.empty() || base::errorIn(address))
+    const auto& object = item.as_object();
+    schema::RunnerEntry entry;
+    entry.instanceId = textOr(object, "instanceId");
+    entry.service = textOr(object, "targetService");
+    entry.zone = textOr(object, "zone");
+    auto address = settings::parseEndpoint(textOr(object, "address"));
+    if (entry.instanceId.empty() || entry.service.empty() || base::errorIn(address))
       return wrong("instances: incomplete entry");
-    e.ip = std::get<settings::Endpoint>(address).ip;
-    e.port = std::get<settings::Endpoint>(address).port;
-    e.slots = std::max<std::uint32_t>(1, wholeOr<std::uint32_t>(o, "capacitySlots", 1));
+    entry.ip = std::get<settings::Endpoint>(address).ip;
+    entry.port = std::get<settings::Endpoint>(address).port;
+    entry.slots = std::max<std::uint32_t>(1, wholeOr<std::uint32_t>(object, "capacitySlots", 1));
     // Anything but ready is treated as leaving: nothing new is passed to what is not known to be well.
-    e.draining = textOr(o, "state") != "ready";
-    e.warmupLeftMs = wholeOr<std::uint32_t>(o, "warmupLeftMs", 0);
-    e.revision = textOr(o, "revision");
+    entry.draining = textOr(object, "state") != "ready";
+    entry.warmupLeftMs = wholeOr<std::uint32_t>(object, "warmupLeftMs", 0);
+    entry.revision = textOr(object, "revision");
     // An entry whose models cannot be read stays in use, but tells no snapshot.
-    if (auto models = modelsOf(o))
-      e.models = std::move(*models);
+    if (auto models = modelsOf(object))
+      entry.models = std::move(*models);
     else
-      e.revision.clear();
-    page.runners.push_back(std::move(e));
+      entry.revision.clear();
+    page.runners.push_back(std::move(entry));
   }
   return page;
 }
 
-base::Millis listReadInterval(const settings::Settings& s, std::size_t pages) {
-  const auto wanted = std::clamp(s.drainTimeoutMs / 6, base::Millis(100), base::Millis(1000));
+base::Millis listReadInterval(const settings::Settings& settings, std::size_t pages) {
+  const auto wanted = std::clamp(settings.drainTimeoutMs / 6, base::Millis(100), base::Millis(1000));
   // The time in which the platform takes the calls of one reading, if nobody else called.
-  const auto reading = 1000.0 * static_cast<double>(std::max<std::size_t>(1, pages)) / std::max(1.0, s.ratePerS);
+  const auto reading = 1000.0 * static_cast<double>(std::max<std::size_t>(1, pages)) / std::max(1.0, settings.ratePerS);
   const base::Millis spared(static_cast<std::int64_t>(8 * reading)), least(static_cast<std::int64_t>(2 * reading));
-  return std::max({wanted, least, std::min(spared, s.drainTimeoutMs / 3)});
+  return std::max({wanted, least, std::min(spared, settings.drainTimeoutMs / 3)});
 }
 
 bool sameRunners(const std::vector<schema::RunnerEntry>& a, const std::vector<schema::RunnerEntry>& b,
                  base::Millis between) {
-  return std::equal(a.begin(), a.end(), b.begin(), b.end(), [&](auto x, const auto& y) {
-    const auto left = std::max<std::int64_t>(0, static_cast<std::int64_t>(x.warmupLeftMs) - between.count());
-    const bool warmSame = std::abs(left - static_cast<std::int64_t>(y.warmupLeftMs)) < 400;
-    x.warmupLeftMs = y.warmupLeftMs;
-    return warmSame && x == y;
+  return std::equal(a.begin(), a.end(), b.begin(), b.end(), [&](auto one, const auto& other) {
+    const auto left = std::max<std::int64_t>(0, static_cast<std::int64_t>(one.warmupLeftMs) - between.count());
+    const bool warmSame = std::abs(left - static_cast<std::int64_t>(other.warmupLeftMs)) < 400;
+    one.warmupLeftMs = other.warmupLeftMs;
+    return warmSame && one == other;
   });
 }
 
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -81,8 +81,9 @@
 
 }  // namespace
 
-std::string text(const Endpoint& e) {
-  return fmt::format("{}.{}.{}.{}:{}", e.ip >> 24, (e.ip >> 16) & 255, (e.ip >> 8) & 255, e.ip & 255, e.port);
+std::string text(const Endpoint& endpoint) {
+  return fmt::format("{}.{}.{}.{}:{}", endpoint.ip >> 24, (endpoint.ip >> 16) & 255, (endpoint.ip >> 8) & 255,
+                     endpoint.ip & 255, endpoint.port);
 }
 
 base::Result<Endpoint> parseEndpoint(const std::string& text) {
@@ -183,13 +184,13 @@
   return parse(all.str());
 }
 
-std::string missingFor(const Settings& s, const std::string& role) {
-  if (s.address.port == 0) return "cloudApi.address: missing (the platform's list of runners)";
+std::string missingFor(const Settings& settings, const std::string& role) {
+  if (settings.address.port == 0) return "cloudApi.address: missing (the platform's list of runners)";
   if (role == "router") {
-    if (s.frontend.port == 0) return "bindAddresses.frontend: missing (where clients connect)";
-    if (s.readiness.port == 0) return "bindAddresses.readiness: missing (where readiness is asked)";
+    if (settings.frontend.port == 0) return "bindAddresses.frontend: missing (where clients connect)";
+    if (settings.readiness.port == 0) return "bindAddresses.readiness: missing (where readiness is asked)";
   } else {
-    if (s.controlPlane.port == 0) return "bindAddresses.controlPlane: missing (where operators call)";
+    if (settings.controlPlane.port == 0) return "bindAddresses.controlPlane: missing (where operators call)";
   }
   return {};
 }
