--- a/src/cli/controller_disk.hpp
+++ b/src/cli/controller_disk.hpp
@@ -8,7 +8,7 @@
 // The disk of a controller process, from its settings.
 namespace indigohill::cli {
 
-// A controller's store, and who its contents say that it is. A relay has neither.
+// A controller's store, and who its contents say that it is. An observer has neither.
 struct ControllerDisk {
   std::unique_ptr<store::Store> store;
   control::Identity identity;
--- a/src/control/campaign.cpp
+++ b/src/control/campaign.cpp
@@ -23,8 +23,8 @@
   return {};
 }
 
-// At first to the backups of the target; if they do not all answer at once, to every storage node: several may be in
-// trouble together, and they are not to be found out one after the other.
+// At first to the backups of the target; if they do not all answer at once, to every storage node: several may have
+// failed together, and they are not to be found out one after the other.
 std::vector<PeerMessage> Campaign::installations(const std::string& self, const schema::EpochRecord& inForce,
                                                  const schema::ControlState& state, const ClusterView& cluster,
                                                  bool first) const {
--- a/src/control/order_processor.cpp
+++ b/src/control/order_processor.cpp
@@ -2,8 +2,8 @@
 
 #include "base/lists.hpp"
 #include "control/configuration.hpp"
-#include "control/taken_orders.hpp"
 #include "rollout/orders.hpp"
+#include "rollout/taken_orders.hpp"
 
 namespace indigohill::control {
 
@@ -28,14 +28,14 @@
 // An order that builds on another version than the current one was taken before, or never will be.
 Answer answerOtherBase(const Order& order, std::uint64_t digest, const schema::ControlState& state) {
   const auto recalled = order.baseVersion > state.revision
-                            ? Recall::NotTaken
-                            : recall(state.takenOrders, kTakenOrdersKept, order.baseVersion, digest);
+                            ? rollout::Recall::NotTaken
+                            : rollout::recall(state.takenOrders, kTakenOrdersKept, order.baseVersion, digest);
   switch (recalled) {
-    case Recall::Taken:
+    case rollout::Recall::Taken:
       return {order.call, kOk, "{}", {}};
-    case Recall::Forgotten:
+    case rollout::Recall::Forgotten:
       return {order.call, kUnclear, "built on a version too old to tell whether this was taken", {}};
-    case Recall::NotTaken:
+    case rollout::Recall::NotTaken:
       break;
   }
   return {order.call, kVersionConflict, "the current revision is " + std::to_string(state.revision), {}};
@@ -59,7 +59,7 @@
     return Answer{order.call, kInvalid, "revision: not above the current one, " + std::to_string(next.revision), {}};
   next.revision = revision;
   next.document = std::move(document);
-  remember(next.takenOrders, kTakenOrdersKept, order.baseVersion, digest);
+  rollout::remember(next.takenOrders, kTakenOrdersKept, order.baseVersion, digest);
   return next;
 }
 
--- a/src/control/placement_policy.cpp
+++ b/src/control/placement_policy.cpp
@@ -188,7 +188,7 @@
 
 PlacementPolicy::Doubt PlacementPolicy::doubtAbout(const schema::Member& candidate, bool heedResponsiveness) const {
   if (in_.members.isRetiring(candidate.voterId, in_.now)) return Doubt::Retiring;
-  // A primary that is being replaced is in trouble or retires.
+  // A primary that is being replaced is faulty or retires.
   const bool unresponsive =
       in_.members.isUnresponsive(candidate.voterId, in_.now) || candidate.voterId == in_.record.primary;
   return heedResponsiveness && unresponsive ? Doubt::Unresponsive : Doubt::None;
--- a/src/rollout/orders.cpp
+++ b/src/rollout/orders.cpp
@@ -5,8 +5,8 @@
 #include <algorithm>
 #include <boost/json.hpp>
 
-#include "control/taken_orders.hpp"
 #include "rollout/fields.hpp"
+#include "rollout/taken_orders.hpp"
 
 namespace indigohill::rollout {
 
@@ -31,12 +31,12 @@
 // An order that was taken is never refused when it is sent again.
 void checkNumber(std::uint64_t number, const schema::Rollout* now, const Standing& standing) {
   if (now == nullptr || number > now->number) return;
-  const auto recalled = standing.order ? control::recall(now->takenOrders, kTakenOrdersKept, number, *standing.order)
-                                       : control::Recall::NotTaken;
-  if (recalled == control::Recall::Taken && number == now->number) throw InForceAlready{};
-  if (recalled == control::Recall::Taken)
+  const auto recalled =
+      standing.order ? recall(now->takenOrders, kTakenOrdersKept, number, *standing.order) : Recall::NotTaken;
+  if (recalled == Recall::Taken && number == now->number) throw InForceAlready{};
+  if (recalled == Recall::Taken)
     throw Refused{{503, fmt::format("number: {} was taken and has been overtaken by {}", number, now->number)}};
-  if (recalled == control::Recall::Forgotten)
+  if (recalled == Recall::Forgotten)
     throw Refused{{503, fmt::format("number: {} is too old to tell whether it was taken", number)}};
   conflict(fmt::format("number: {} is not above the current one, {}", number, now->number));
 }
@@ -114,7 +114,7 @@
     const auto place =
         std::find_if(out.begin(), out.end(), [&](const auto& rollout) { return rollout.service == next.service; });
     if (place != out.end()) next.takenOrders = place->takenOrders;
-    if (standing.order) control::remember(next.takenOrders, kTakenOrdersKept, next.number, *standing.order);
+    if (standing.order) remember(next.takenOrders, kTakenOrdersKept, next.number, *standing.order);
     if (place != out.end())
       *place = next;
     else
--- a/src/control/taken_orders.hpp
+++ b/src/rollout/taken_orders.hpp
@@ -9,7 +9,7 @@
 // The memory of orders that were taken, by which one that is sent again is recognised. Orders are numbered (a
 // configuration by the version it builds on, a rollout by its own number), numbers rise, and each number has at most
 // one order that was taken.
-namespace indigohill::control {
+namespace indigohill::rollout {
 
 enum class Recall {
   Taken,      // this very order was taken
@@ -35,4 +35,4 @@
   kept.push_back({number, digest});
 }
 
-}  // namespace indigohill::control
+}  // namespace indigohill::rollout
--- a/src/routing/shared_health.cpp
+++ b/src/routing/shared_health.cpp
@@ -7,7 +7,7 @@
 namespace indigohill::routing {
 
 namespace {
-constexpr base::Millis kReportInterval{1000};  // trouble at one runner is reported no more often than this
+constexpr base::Millis kReportInterval{1000};  // faults at one runner are reported no more often than this
 constexpr std::size_t kSuspendedPart = 4;      // at most one in so many runners is left out
 
 const RouterId* routerIn(const Routers& routers, std::uint64_t incarnation) {
--- a/src/store/database.hpp
+++ b/src/store/database.hpp
@@ -5,7 +5,7 @@
 #include <optional>
 #include <string>
 
-#include "control/replica.hpp"
+#include "control/effects.hpp"
 
 // One snapshot of the slots in an LMDB file.
 namespace indigohill::store {
--- a/src/store/store.hpp
+++ b/src/store/store.hpp
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "base/result.hpp"
-#include "control/replica.hpp"
+#include "control/effects.hpp"
 #include "store/snapshots.hpp"
 
 // A controller's disk, written by a thread of its own.
--- a/tests/test_control.cpp
+++ b/tests/test_control.cpp
@@ -13,7 +13,7 @@
 #include "base/lists.hpp"
 #include "control/configuration.hpp"
 #include "control/replica.hpp"
-#include "control/taken_orders.hpp"
+#include "rollout/taken_orders.hpp"
 #include "documents.hpp"
 
 namespace control = indigohill::control;
--- a/tests/test_proxy.cpp
+++ b/tests/test_proxy.cpp
@@ -418,7 +418,7 @@
   cr_assert(r.prompt == "a:5,b:6" && r.tokens == "11,3");
 }
 
-Test(proxy, without_a_configuration_it_sheds_and_when_shuttingDown_it_closes) {
+Test(proxy, without_a_configuration_it_rejects_and_when_shutting_down_it_closes) {
   Runner runner({whole("ok")});
   {
     Front front({&runner});
