--- a/tests/test_control.cpp
+++ b/tests/test_control.cpp
@@ -13,8 +13,8 @@
 #include "base/lists.hpp"
 #include "control/configuration.hpp"
 #include "control/replica.hpp"
-#include "rollout/taken_orders.hpp"
 #include "documents.hpp"
+#include "rollout/taken_orders.hpp"
 
 namespace control = indigohill::control;
 namespace schema = indigohill::schema;
