--- a/tests/test_kvindex.cpp
+++ b/tests/test_kvindex.cpp
@@ -117,7 +117,7 @@
   const auto parts = 1 + random() % 4;
   for (std::size_t i = 0; i < parts; ++i) {
     const auto id = 1 + random() % 5;
-    out.emplace_back(id, 50 + 20 * static_cast<std::uint32_t>(id));
+    out.push_back({id, 50 + 20 * static_cast<std::uint32_t>(id)});
   }
   return out;
 }
